--- a/kernel/src/main/java/org/marjoramswitch/kernel/InstanceKernel.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/InstanceKernel.java
@@ -14,9 +14,9 @@
 import org.marjoramswitch.kernel.action.Decision;
 import org.marjoramswitch.kernel.arbiter.Arbiter;
 import org.marjoramswitch.kernel.entry.Entry;
-import org.marjoramswitch.kernel.entry.FleetPlan;
+import org.marjoramswitch.kernel.entry.FleetState;
 import org.marjoramswitch.kernel.event.Event;
-import org.marjoramswitch.kernel.liveness.PeerWatch;
+import org.marjoramswitch.kernel.liveness.SilentPeerDetector;
 import org.marjoramswitch.kernel.message.PeerMessage;
 import org.marjoramswitch.kernel.model.CellId;
 import org.marjoramswitch.kernel.model.FleetView;
@@ -46,14 +46,14 @@
 
     private final Member self;
     private final KernelOptions options;
-    private final FleetPlan plan;
+    private final FleetState plan;
     private final Entry entry;
     private final Map<CellId, Arbiter> arbiters = new TreeMap<>();
     private final Map<CellId, Long> assignedSinceMs = new TreeMap<>();
     private final Set<CellId> touched = new TreeSet<>();
     private final PlacementArbiters placements;
     private final Deque<PeerMessage> toSelf = new ArrayDeque<>();
-    private final PeerWatch entryWatch = PeerWatch.create();
+    private final SilentPeerDetector entryWatch = SilentPeerDetector.create();
     private boolean draining;
     private boolean drained;
     private long nextReachMs;
@@ -61,7 +61,7 @@
     private InstanceKernel(Member self, KernelOptions options) {
         this.self = self;
         this.options = options;
-        this.plan = FleetPlan.of(FleetView.of(List.of(self)));
+        this.plan = FleetState.of(FleetView.of(List.of(self)));
         this.entry = Entry.create(self.id(), options, plan);
         this.placements = PlacementArbiters.of(plan, options.placement());
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/PlacementArbiters.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/PlacementArbiters.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import org.jspecify.annotations.Nullable;
 import org.marjoramswitch.kernel.action.ActionSink;
-import org.marjoramswitch.kernel.entry.FleetPlan;
+import org.marjoramswitch.kernel.entry.FleetState;
 import org.marjoramswitch.kernel.message.PeerMessage;
 import org.marjoramswitch.kernel.model.CellId;
 import org.marjoramswitch.kernel.model.InstanceId;
@@ -15,16 +15,16 @@
 
 /** The arbiters of the cells that entries have asked this instance to place requests in. */
 final class PlacementArbiters {
-    private final FleetPlan plan;
+    private final FleetState plan;
     private final PlacementPolicy policy;
     private final Map<CellId, PlacementArbiter> byCell = new TreeMap<>();
 
-    private PlacementArbiters(FleetPlan plan, PlacementPolicy policy) {
+    private PlacementArbiters(FleetState plan, PlacementPolicy policy) {
         this.plan = plan;
         this.policy = policy;
     }
 
-    static PlacementArbiters of(FleetPlan plan, PlacementPolicy policy) {
+    static PlacementArbiters of(FleetState plan, PlacementPolicy policy) {
         return new PlacementArbiters(plan, policy);
     }
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/crash/CrashExchange.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/crash/PoisonRequestGossip.java
@@ -12,28 +12,28 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * Keeps the {@link CrashRecords} of all instances the same: what one learns it tells all others with its next tick, and
+ * Keeps the {@link PoisonRequests} of all instances the same: what one learns it tells all others with its next tick, and
  * who comes anew is told all by each. A harmful request goes to any instance; one that learned only from its own targets
  * would let it end as many as each of the others.
  *
  * <p>It costs a message to each peer for each tick in which something was learned; a target's end is known to those
  * instances that had requests there, each of which tells of all of these at once.
  */
-public final class CrashExchange {
+public final class PoisonRequestGossip {
     /** News in one message; what is more waits for the next tick. */
     private static final int MOST_IN_MESSAGE = 128;
 
-    private final CrashRecords records = CrashRecords.create();
+    private final PoisonRequests records = PoisonRequests.create();
     private final Set<RequestCrash> crashesToTell = new LinkedHashSet<>();
     private final Set<Long> servedToTell = new LinkedHashSet<>();
 
-    private CrashExchange() {}
+    private PoisonRequestGossip() {}
 
-    public static CrashExchange create() {
-        return new CrashExchange();
+    public static PoisonRequestGossip create() {
+        return new PoisonRequestGossip();
     }
 
-    public CrashRecords records() {
+    public PoisonRequests records() {
         return records;
     }
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/crash/CrashRecords.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/crash/PoisonRequests.java
@@ -24,7 +24,7 @@
  * <p>A record is a set that only grows until it is cleared or forgotten, so instances may tell one another in any order
  * and more than once. Memory is bounded: the oldest records go first, blocked ones last.
  */
-public final class CrashRecords {
+public final class PoisonRequests {
     /** With fewer, requests that two ends have hit by chance would be refused. */
     private static final int TARGETS_TO_BLOCK = 3;
 
@@ -44,10 +44,10 @@
     /** By digest; the last one to be changed is the last. */
     private final Map<Long, CrashRecord> records = new LinkedHashMap<>();
 
-    private CrashRecords() {}
+    private PoisonRequests() {}
 
-    public static CrashRecords create() {
-        return new CrashRecords();
+    public static PoisonRequests create() {
+        return new PoisonRequests();
     }
 
     /** Notes an end; false where it is known or too old to matter. */
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/LateArbiters.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/ArbiterBackoffs.java
@@ -11,7 +11,7 @@
  * <p>An arbiter without enough processor time still sends messages, so it does not count as silent. If entries kept asking
  * it, its backlog would fill with requests whose callers have given up.
  */
-final class LateArbiters {
+final class ArbiterBackoffs {
     /** A stall of this length delays first bytes by about their objective. */
     private static final long LATE_MS = 400;
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/DemandOffers.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/DemandPublisher.java
@@ -33,12 +33,12 @@
  * <p>The same request may be offered to several cells. The surplus is taken back when the customer's queue is empty; a
  * grant that was under way by then is declined, which costs one round trip of one slot.
  */
-final class DemandOffers {
+final class DemandPublisher {
     private final KernelOptions options;
-    private final FleetPlan plan;
+    private final FleetState plan;
     private final Map<CellId, CellLink> links = new TreeMap<>();
 
-    DemandOffers(KernelOptions options, FleetPlan plan) {
+    DemandPublisher(KernelOptions options, FleetState plan) {
         this.options = options;
         this.plan = plan;
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
@@ -12,10 +12,10 @@
 import org.marjoramswitch.kernel.action.Action;
 import org.marjoramswitch.kernel.action.ActionSink;
 import org.marjoramswitch.kernel.action.Decision;
-import org.marjoramswitch.kernel.crash.CrashExchange;
+import org.marjoramswitch.kernel.crash.PoisonRequestGossip;
 import org.marjoramswitch.kernel.error.ErrorType;
 import org.marjoramswitch.kernel.error.Failure;
-import org.marjoramswitch.kernel.liveness.PeerWatch;
+import org.marjoramswitch.kernel.liveness.SilentPeerDetector;
 import org.marjoramswitch.kernel.message.PeerMessage;
 import org.marjoramswitch.kernel.message.PeerMessage.DeclineReason;
 import org.marjoramswitch.kernel.message.PeerMessage.PlacementEnd;
@@ -48,7 +48,7 @@
  * through a change of arbiter; the entry registers anew afterwards and the arbiter accounts for it.
  *
  * <p>A request under which several targets have ended is not sent on, whichever instance saw them end ({@link
- * CrashExchange}); a target that asked this instance for rest is left out until the rest is over ({@link TargetRests}).
+ * PoisonRequestGossip}); a target that asked this instance for rest is left out until the rest is over ({@link TargetBackoffs}).
  */
 public final class Entry {
     private static final long RETRY_AFTER_MS = 1_000;
@@ -59,9 +59,9 @@
     private static final long PAUSE_MS = 300;
 
     private final KernelOptions options;
-    private final FleetPlan plan;
+    private final FleetState plan;
     private final InstanceId self;
-    private final DemandOffers offers;
+    private final DemandPublisher offers;
     private final Map<PoolId, PoolQueues> pools = new TreeMap<>();
     private final Map<Long, EntryRequest> requests = new TreeMap<>();
     private final PriorityQueue<EntryRequest> deadlines = new PriorityQueue<>(
@@ -69,23 +69,23 @@
                     .thenComparingLong(request -> request.spec().requestId()));
     private final Registrations registrations;
     private final Placements placements;
-    private final PeerWatch placementWatch = PeerWatch.create();
-    private final CrashExchange crashes = CrashExchange.create();
-    private final TargetRests rests = new TargetRests();
+    private final SilentPeerDetector placementWatch = SilentPeerDetector.create();
+    private final PoisonRequestGossip crashes = PoisonRequestGossip.create();
+    private final TargetBackoffs rests = new TargetBackoffs();
     private int waitingInAll;
     private boolean draining;
     private long lastTickMs;
 
-    private Entry(InstanceId self, KernelOptions options, FleetPlan plan) {
+    private Entry(InstanceId self, KernelOptions options, FleetState plan) {
         this.self = self;
         this.options = options;
         this.plan = plan;
-        this.offers = new DemandOffers(options, plan);
+        this.offers = new DemandPublisher(options, plan);
         this.registrations = new Registrations(self, options, plan, offers, this::pool, requests.values());
         this.placements = new Placements(self, plan, rests);
     }
 
-    public static Entry create(InstanceId self, KernelOptions options, FleetPlan plan) {
+    public static Entry create(InstanceId self, KernelOptions options, FleetState plan) {
         return new Entry(self, options, plan);
     }
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/FleetPlan.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/FleetState.java
@@ -18,7 +18,7 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /** What one instance holds of the fleet now: settings, view, cells, arbiters, leaving targets, broken links. */
-public final class FleetPlan {
+public final class FleetState {
     private static final double DEFAULT_WEIGHT = 1.0;
     /** Above the targets of a fleet, so that what is dropped is long gone. */
     private static final int MOST_SAID_LEAVING = 2_048;
@@ -34,13 +34,13 @@
 
     private Set<TargetId> leavingTargets = Set.of();
 
-    private FleetPlan(FleetView view) {
+    private FleetState(FleetView view) {
         this.view = view;
         this.assignment = ArbiterAssignment.of(cells.cells(), view);
     }
 
-    public static FleetPlan of(FleetView view) {
-        return new FleetPlan(view);
+    public static FleetState of(FleetView view) {
+        return new FleetState(view);
     }
 
     public FleetSettings settings() {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Placements.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Placements.java
@@ -37,9 +37,9 @@
  */
 final class Placements {
     private final InstanceId self;
-    private final FleetPlan plan;
-    private final TargetRests rests;
-    private final LateArbiters lateArbiters = new LateArbiters();
+    private final FleetState plan;
+    private final TargetBackoffs rests;
+    private final ArbiterBackoffs lateArbiters = new ArbiterBackoffs();
     private final Map<Long, Question> byNumber = new TreeMap<>();
     private final Map<Long, Question> byRequest = new HashMap<>();
     /** For each cell, the arbiter that was notified of this entry's running requests. */
@@ -51,7 +51,7 @@
     private long lastNumber;
     private long resumedAtMs = Long.MIN_VALUE;
 
-    Placements(InstanceId self, FleetPlan plan, TargetRests rests) {
+    Placements(InstanceId self, FleetState plan, TargetBackoffs rests) {
         this.self = self;
         this.plan = plan;
         this.rests = rests;
@@ -143,7 +143,7 @@
 
     private void noteDelay(Question question, long heldMs, long nowMs, ActionSink sink) {
         long delayMs = nowMs - question.putAtMs - heldMs;
-        if (LateArbiters.isLate(delayMs) && question.putAtMs >= resumedAtMs) {
+        if (ArbiterBackoffs.isLate(delayMs) && question.putAtMs >= resumedAtMs) {
             late(question.arbiter, "delayed", nowMs, sink);
         }
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Registrations.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Registrations.java
@@ -10,7 +10,7 @@
 import org.marjoramswitch.kernel.action.Action;
 import org.marjoramswitch.kernel.action.ActionSink;
 import org.marjoramswitch.kernel.action.Decision;
-import org.marjoramswitch.kernel.liveness.PeerWatch;
+import org.marjoramswitch.kernel.liveness.SilentPeerDetector;
 import org.marjoramswitch.kernel.message.PeerMessage;
 import org.marjoramswitch.kernel.model.CellId;
 import org.marjoramswitch.kernel.model.InstanceId;
@@ -36,19 +36,19 @@
 
     private final InstanceId self;
     private final KernelOptions options;
-    private final FleetPlan plan;
-    private final DemandOffers offers;
+    private final FleetState plan;
+    private final DemandPublisher offers;
     private final Function<PoolId, PoolQueues> pools;
     private final Collection<EntryRequest> requests;
-    private final PeerWatch watch = PeerWatch.create();
+    private final SilentPeerDetector watch = SilentPeerDetector.create();
     private long lastProbe;
 
     /** @param requests the entry's open requests, a live view */
     Registrations(
             InstanceId self,
             KernelOptions options,
-            FleetPlan plan,
-            DemandOffers offers,
+            FleetState plan,
+            DemandPublisher offers,
             Function<PoolId, PoolQueues> pools,
             Collection<EntryRequest> requests) {
         this.self = self;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/TargetRests.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/TargetBackoffs.java
@@ -10,7 +10,7 @@
  * The targets that want nothing from this instance for a while, as they said when they turned a request of it away. What
  * is sent there all the same is turned away too: its caller waits longer, and a second send is spent for nothing.
  */
-final class TargetRests {
+final class TargetBackoffs {
     private final TreeMap<TargetId, Long> untilMs = new TreeMap<>();
 
     /** A target asks for rest; false where it is known to rest. A shorter wish does not end a longer one. */
--- a/kernel/src/main/java/org/marjoramswitch/kernel/liveness/PeerWatch.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/liveness/SilentPeerDetector.java
@@ -18,16 +18,16 @@
  * of which nothing is awaited are not probed: heartbeats on every link were a third of the control bytes at 350
  * instances.
  */
-public final class PeerWatch {
+public final class SilentPeerDetector {
     static final long PROBE_AFTER_MS = 130;
     static final long SILENT_AFTER_MS = 400;
 
     private final Map<InstanceId, Contact> contacts = new TreeMap<>();
 
-    private PeerWatch() {}
+    private SilentPeerDetector() {}
 
-    public static PeerWatch create() {
-        return new PeerWatch();
+    public static SilentPeerDetector create() {
+        return new SilentPeerDetector();
     }
 
     /** Something came from the peer. */
--- a/kernel/src/test/java/org/marjoramswitch/kernel/RequestThatEndsTargetsTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/PoisonRequestTest.java
@@ -26,7 +26,7 @@
  * certain request begins to run there. The request comes again under new names, at any instance; every instance takes it
  * for a new one and sends it on, twice where it may be repeated. Proof: the ends of targets had one digest in common.
  */
-class RequestThatEndsTargetsTest extends PlacementFleet {
+class PoisonRequestTest extends PlacementFleet {
     private static final String[] TARGETS = {"t1", "t2", "t3", "t4", "t5", "t6", "t7", "t8", "t9"};
     private static final long HARMFUL = 666;
     /** What the users grant: so many targets end before it has to be known, then so many more sends. */
--- a/kernel/src/test/java/org/marjoramswitch/kernel/crash/CrashRecordsTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/crash/PoisonRequestsTest.java
@@ -8,11 +8,11 @@
 import org.marjoramswitch.kernel.message.PeerMessage.RequestCrash;
 import org.marjoramswitch.kernel.model.TargetId;
 
-class CrashRecordsTest {
+class PoisonRequestsTest {
     private static final long DIGEST = 7;
     private static final long MINUTE_MS = 60_000;
 
-    private final CrashRecords records = CrashRecords.create();
+    private final PoisonRequests records = PoisonRequests.create();
 
     @Test
     void threeTargetsBlockARequestForAMinute() {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/entry/EntryTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/entry/EntryTest.java
@@ -43,7 +43,7 @@
     private static final long DEADLINE_MS = 30_000;
     private static final int MAX_QUEUED = 3;
 
-    private final FleetPlan plan = FleetPlan.of(view(ARBITER));
+    private final FleetState plan = FleetState.of(view(ARBITER));
     private final Entry entry = Entry.create(SELF, KernelOptions.defaults(), plan);
     private final List<Action> actions = new ArrayList<>();
     private long nowMs = 1_000;
