--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/RequestKeys.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/RequestKeys.java
@@ -181,7 +181,7 @@
     }
 
     synchronized void answering(long requestId) {
-        registry.answering(requestId);
+        registry.responseStarted(requestId);
     }
 
     void ended(KeyedAnswer answer, AnswerEnd end, long bytes) {
@@ -198,7 +198,7 @@
     }
 
     private List<AnswerBuffer> drop(List<Long> requestIds) {
-        requestIds.forEach(registry::answerDropped);
+        requestIds.forEach(registry::responseDropped);
         requestIds.forEach(kept::remove);
         return requestIds.stream()
                 .map(answers::remove)
--- a/kernel/src/main/java/org/marjoramswitch/kernel/InstanceKernel.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/InstanceKernel.java
@@ -178,7 +178,7 @@
         } else if (event instanceof Event.TargetProgress progress) {
             entry.delivered(progress.requestId(), progress.outputTokens(), sink);
         } else if (event instanceof Event.TargetAnswering answering) {
-            entry.answering(answering.requestId(), sink);
+            entry.responseStarted(answering.requestId(), sink);
         } else if (event instanceof Event.TargetEnded ended) {
             entry.attemptEnded(ended.requestId(), ended.outcome(), ended.usage(), nowMs, sink);
         } else if (event instanceof Event.PeerReceived received) {
@@ -194,9 +194,9 @@
         } else if (event instanceof Event.TargetSaidLeaving said) {
             targetSaidLeaving(said, sink);
         } else if (event instanceof Event.TargetAskedForRest asked) {
-            entry.askedForRest(asked.target(), asked.restMs(), nowMs, sink);
+            entry.backoffRequested(asked.target(), asked.restMs(), nowMs, sink);
         } else if (event instanceof Event.CrashesListed listed) {
-            entry.crashNews(new PeerMessage.CrashNews(listed.crashes(), List.of()), nowMs, sink);
+            entry.crashesReported(new PeerMessage.CrashNews(listed.crashes(), List.of()), nowMs, sink);
         } else if (event instanceof Event.TargetReported reported) {
             targetReported(reported, nowMs);
         } else if (event instanceof Event.PrefixCached cached) {
@@ -218,7 +218,7 @@
             return;
         }
         if (message instanceof PeerMessage.CrashNews news) {
-            entry.crashNews(news, nowMs, sink);
+            entry.crashesReported(news, nowMs, sink);
             return;
         }
         if (message instanceof PeerMessage.ProbeReply reply) {
@@ -283,8 +283,8 @@
     }
 
     private void heard(InstanceId from, PeerMessage message, long nowMs, ActionSink sink) {
-        entry.heard(from, nowMs, sink);
-        entryWatch.heard(from, nowMs);
+        entry.messageReceived(from, nowMs, sink);
+        entryWatch.messageReceived(from, nowMs);
         for (Arbiter arbiter : arbiters.values()) {
             arbiter.heard(from);
             boolean back = arbiter.knows(from) && !arbiter.serves(from) && !(message instanceof PeerMessage.Register);
@@ -303,8 +303,8 @@
         Set<InstanceId> awaited = new TreeSet<>();
         arbiters.values().forEach(arbiter -> awaited.addAll(arbiter.awaited()));
         awaited.remove(self.id());
-        for (InstanceId silent :
-                entryWatch.silent(awaited, nowMs, peer -> entry.registrations().probe(peer, sink))) {
+        for (InstanceId silent : entryWatch.silentPeers(
+                awaited, nowMs, peer -> entry.registrations().probe(peer, sink))) {
             arbiters.values().forEach(arbiter -> arbiter.disconnected(silent));
             touched.addAll(arbiters.keySet());
         }
@@ -365,7 +365,7 @@
         }
         // On a new link the peer tells its state anew; what an older link brought must not be added to it.
         forgetPlacements(changed.peer(), nowMs);
-        entry.planChanged(nowMs, sink);
+        entry.fleetChanged(nowMs, sink);
     }
 
     private void viewChanged(FleetView view, long nowMs, ActionSink sink) {
@@ -380,7 +380,7 @@
             }
         }
         noteAssignments(nowMs);
-        entry.planChanged(nowMs, sink);
+        entry.fleetChanged(nowMs, sink);
     }
 
     private void forgetPlacements(InstanceId gone, long nowMs) {
@@ -404,7 +404,7 @@
         plan.settings(settings);
         noteAssignments(nowMs);
         refreshTargets();
-        entry.planChanged(nowMs, sink);
+        entry.fleetChanged(nowMs, sink);
     }
 
     private void targetsLeaving(Set<TargetId> leaving, ActionSink sink) {
@@ -426,7 +426,7 @@
     }
 
     private boolean noteSaidLeaving(TargetId target, long startedAtMs, ActionSink sink) {
-        if (!plan.saidLeaving(target, startedAtMs)) {
+        if (!plan.markDraining(target, startedAtMs)) {
             return false;
         }
         sink.accept(new Action.Decided(Decision.of("target_said_leaving", "target", target)));
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
@@ -143,7 +143,7 @@
     }
 
     /** The first byte of the running attempt's answer is there. */
-    public void answering(long requestId, ActionSink sink) {
+    public void responseStarted(long requestId, ActionSink sink) {
         EntryRequest request = requests.get(requestId);
         if (request != null && request.target() != null) {
             placements.answering(request, sink);
@@ -198,8 +198,8 @@
     }
 
     /** Arbiters, cells or links may have changed. */
-    public void planChanged(long nowMs, ActionSink sink) {
-        registrations.planChanged(nowMs, sink);
+    public void fleetChanged(long nowMs, ActionSink sink) {
+        registrations.fleetChanged(nowMs, sink);
         placements.follow(nowMs, sink);
     }
 
@@ -211,21 +211,21 @@
     }
 
     /** A target turned a request away and wants nothing from here for a while. */
-    public void askedForRest(TargetId target, long restMs, long nowMs, ActionSink sink) {
+    public void backoffRequested(TargetId target, long restMs, long nowMs, ActionSink sink) {
         if (rests.add(target, nowMs + restMs, nowMs)) {
             sink.accept(new Action.Decided(Decision.of("target_rests", "target", target, "restMs", restMs)));
         }
     }
 
     /** A peer saw targets end under requests, or such requests served. */
-    public void crashNews(PeerMessage.CrashNews news, long nowMs, ActionSink sink) {
+    public void crashesReported(PeerMessage.CrashNews news, long nowMs, ActionSink sink) {
         crashes.received(news, nowMs).forEach(digest -> refuseBlocked(digest, nowMs, sink));
     }
 
     /** Something came from a peer. */
-    public void heard(InstanceId peer, long nowMs, ActionSink sink) {
-        placementWatch.heard(peer, nowMs);
-        registrations.heard(peer, nowMs, sink);
+    public void messageReceived(InstanceId peer, long nowMs, ActionSink sink) {
+        placementWatch.messageReceived(peer, nowMs);
+        registrations.messageReceived(peer, nowMs, sink);
     }
 
     public void delivered(long requestId, long outputTokens, ActionSink sink) {
@@ -317,7 +317,7 @@
     private void watchPlacementArbiters(long nowMs, ActionSink sink) {
         Set<InstanceId> awaited = placements.awaited();
         awaited.removeAll(plan.unreachable());
-        for (InstanceId silent : placementWatch.silent(awaited, nowMs, peer -> registrations.probe(peer, sink))) {
+        for (InstanceId silent : placementWatch.silentPeers(awaited, nowMs, peer -> registrations.probe(peer, sink))) {
             plan.reachable(silent, false);
             placements.silent(silent, nowMs, sink);
         }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/FleetState.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/FleetState.java
@@ -88,7 +88,7 @@
     }
 
     /** A target has said that it leaves; false where that is known. */
-    public boolean saidLeaving(TargetId target, long startedAtMs) {
+    public boolean markDraining(TargetId target, long startedAtMs) {
         Long known = saidLeaving.put(target, startedAtMs);
         if (saidLeaving.size() > MOST_SAID_LEAVING) {
             saidLeaving.remove(saidLeaving.keySet().iterator().next());
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Registrations.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Registrations.java
@@ -60,7 +60,7 @@
     }
 
     /** Arbiters, cells or links may have changed: follows them. */
-    public void planChanged(long nowMs, ActionSink sink) {
+    public void fleetChanged(long nowMs, ActionSink sink) {
         for (EntryRequest request : requests) {
             followTarget(request, nowMs);
         }
@@ -70,11 +70,11 @@
     }
 
     /** Something came from a peer: it is there, whatever was thought of it. */
-    public void heard(InstanceId peer, long nowMs, ActionSink sink) {
-        watch.heard(peer, nowMs);
+    public void messageReceived(InstanceId peer, long nowMs, ActionSink sink) {
+        watch.messageReceived(peer, nowMs);
         if (plan.unreachable().contains(peer)) {
             plan.reachable(peer, true);
-            planChanged(nowMs, sink);
+            fleetChanged(nowMs, sink);
         }
     }
 
@@ -148,12 +148,12 @@
             }
         }
         awaited.removeAll(plan.unreachable());
-        List<InstanceId> silent = watch.silent(awaited, nowMs, arbiter -> probe(arbiter, sink));
+        List<InstanceId> silent = watch.silentPeers(awaited, nowMs, arbiter -> probe(arbiter, sink));
         if (silent.isEmpty()) {
             return;
         }
         silent.forEach(arbiter -> plan.reachable(arbiter, false));
-        planChanged(nowMs, sink);
+        fleetChanged(nowMs, sink);
     }
 
     private void followTarget(EntryRequest request, long nowMs) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/liveness/SilentPeerDetector.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/liveness/SilentPeerDetector.java
@@ -31,7 +31,7 @@
     }
 
     /** Something came from the peer. */
-    public void heard(InstanceId peer, long nowMs) {
+    public void messageReceived(InstanceId peer, long nowMs) {
         Contact contact = contacts.get(peer);
         if (contact != null) {
             contact.heardMs = nowMs;
@@ -42,7 +42,7 @@
      * Watches just these peers and returns the ones that have been silent too long. One that is watched anew has its
      * full time from now on.
      */
-    public List<InstanceId> silent(Collection<InstanceId> awaited, long nowMs, Consumer<InstanceId> probe) {
+    public List<InstanceId> silentPeers(Collection<InstanceId> awaited, long nowMs, Consumer<InstanceId> probe) {
         contacts.keySet().retainAll(awaited);
         List<InstanceId> silent = new ArrayList<>();
         for (InstanceId peer : awaited) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/request/KeyRegistry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/request/KeyRegistry.java
@@ -132,7 +132,7 @@
     }
 
     /** The head of a request's answer has come. */
-    public void answering(long requestId) {
+    public void responseStarted(long requestId) {
         move(requestId, KeyState.ANSWERING);
     }
 
@@ -151,7 +151,7 @@
     }
 
     /** The answer of an ended request is not kept any longer. */
-    public void answerDropped(long requestId) {
+    public void responseDropped(long requestId) {
         Entry entry = byRequest.remove(requestId);
         if (entry != null) {
             entry.answerKept = false;
--- a/kernel/src/test/java/org/marjoramswitch/kernel/entry/EntryTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/entry/EntryTest.java
@@ -166,7 +166,7 @@
         arrive(2, true);
         grant(T1);
         plan.reachable(ARBITER, false);
-        entry.registrations().planChanged(nowMs, actions::add);
+        entry.registrations().fleetChanged(nowMs, actions::add);
         end(1, TargetOutcome.COMPLETED);
 
         assertEquals(2, count(Action.Dispatch.class));
--- a/kernel/src/test/java/org/marjoramswitch/kernel/request/KeyRegistryTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/request/KeyRegistryTest.java
@@ -46,7 +46,7 @@
         assertEquals(new KeyVerdict.Attach(1), registry.present(ONE, key, 7, 2, NOW_MS));
         registry.sent(1);
         assertEquals(KeyState.SENT, registry.query(ONE, key, NOW_MS));
-        registry.answering(1);
+        registry.responseStarted(1);
         assertEquals(KeyState.ANSWERING, registry.query(ONE, key, NOW_MS));
         registry.ended(1, false, NOW_MS);
         assertEquals(new KeyVerdict.Replay(1), registry.present(ONE, key, 7, 3, NOW_MS));
