--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
@@ -28,7 +28,7 @@
 import org.marjoramswitch.kernel.model.TargetId;
 import org.marjoramswitch.kernel.model.TargetOutcome;
 import org.marjoramswitch.kernel.model.Usage;
-import org.marjoramswitch.kernel.placement.RetryTimes;
+import org.marjoramswitch.kernel.placement.RetryAfterPolicy;
 import org.marjoramswitch.kernel.settings.CustomerSettings;
 import org.marjoramswitch.kernel.settings.PoolSettings;
 
@@ -328,7 +328,7 @@
         for (EntryRequest request : placements.takeOverdue(nowMs, sink)) {
             waitingInAll--;
             RequestSpec spec = request.spec();
-            long retryAfterMs = RetryTimes.spreadAfterMs(spec.deadlineMs(), spec.requestId(), nowMs);
+            long retryAfterMs = RetryAfterPolicy.spreadAfterMs(spec.deadlineMs(), spec.requestId(), nowMs);
             fail(request, ErrorType.NO_TARGET_IN_TIME, retryAfterMs, "no answer of the arbiter", sink);
         }
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Placements.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Placements.java
@@ -23,7 +23,7 @@
 import org.marjoramswitch.kernel.model.PoolId;
 import org.marjoramswitch.kernel.model.PromptPart;
 import org.marjoramswitch.kernel.model.TargetId;
-import org.marjoramswitch.kernel.placement.LateHold;
+import org.marjoramswitch.kernel.placement.LateRequestHold;
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
@@ -377,7 +377,7 @@
             this.number = number;
             this.request = request;
             PlacementSpec placement = Objects.requireNonNull(request.spec().placement());
-            this.answerDueAtMs = LateHold.answerDueAtMs(
+            this.answerDueAtMs = LateRequestHold.responseDueAtMs(
                     placement.objectiveAtMs(), request.spec().deadlineMs(), nowMs);
             this.cell = cell;
             this.arbiter = arbiter;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/LateHold.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/LateRequestHold.java
@@ -1,7 +1,7 @@
 package org.marjoramswitch.kernel.placement;
 
 /** Computes how long an arbiter keeps requests that can no longer be in time, and so when its answer is due. */
-public final class LateHold {
+public final class LateRequestHold {
     /** The part of the time a caller has left that a late request is held for, so that it can try once more. */
     private static final int DIVISOR = 4;
 
@@ -9,7 +9,7 @@
     /** For the messages between entry and arbiter. */
     private static final long ANSWER_MARGIN_MS = 250;
 
-    private LateHold() {}
+    private LateRequestHold() {}
 
     static long holdMs(long endAtMs, long nowMs) {
         return Math.min(MAX_MS, (endAtMs - nowMs) / DIVISOR);
@@ -21,7 +21,7 @@
      * @param objectiveAtMs when the request's first byte is late
      * @param endAtMs when its caller gives up
      */
-    public static long answerDueAtMs(long objectiveAtMs, long endAtMs, long nowMs) {
+    public static long responseDueAtMs(long objectiveAtMs, long endAtMs, long nowMs) {
         long lateAtMs = Math.max(objectiveAtMs, nowMs);
         return Math.min(endAtMs, lateAtMs + Math.max(0, holdMs(endAtMs, lateAtMs)) + ANSWER_MARGIN_MS);
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
@@ -36,7 +36,7 @@
  * of requests and events.
  *
  * <p>A request is late once its first byte can no longer meet its objective. Late requests use only capacity that the others
- * leave, are held for a bounded time ({@link LateHold}), and are then rejected with a retry delay.
+ * leave, are held for a bounded time ({@link LateRequestHold}), and are then rejected with a retry delay.
  *
  * <p>All state is soft. Requests carry an id chosen by the entry, which re-registers its running requests after switching
  * arbiters. Two arbiters of one cell, on the two sides of a partition, may overload targets for a while, but no request is
@@ -232,7 +232,7 @@
     }
 
     private void addLate(WaitingRequest request, long nowMs) {
-        long holdMs = LateHold.holdMs(request.endAtMs(), nowMs);
+        long holdMs = LateRequestHold.holdMs(request.endAtMs(), nowMs);
         boolean worthHolding = policy.has(Mechanism.LATE_HOLDING)
                 && waiting.inTimeCount() == 0
                 && waiting.lateCount() < mostLate()
@@ -271,7 +271,7 @@
                 new PeerMessage.NotPlaced(
                         cell,
                         request.ask(),
-                        RetryTimes.afterMs(request, policy, nowMs),
+                        RetryAfterPolicy.afterMs(request, policy, nowMs),
                         nowMs - request.arrivedAtMs())));
         sink.accept(PlacementLog.notPlaced(cell, request, waiting, targets.size(), nowMs));
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/RetryTimes.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/RetryAfterPolicy.java
@@ -1,7 +1,7 @@
 package org.marjoramswitch.kernel.placement;
 
 /** When callers that are refused are told to come back. */
-public final class RetryTimes {
+public final class RetryAfterPolicy {
     /** Of the time that a caller has left, when it is told to come back: overload lasts for seconds. */
     private static final int RETRY_DIVISOR = 4;
 
@@ -12,7 +12,7 @@
 
     private static final int SPREAD_PLACES = 16;
 
-    private RetryTimes() {}
+    private RetryAfterPolicy() {}
 
     static long afterMs(WaitingRequest request, PlacementPolicy policy, long nowMs) {
         return policy.has(Mechanism.RETRY_SPREAD)
