--- a/kernel/src/main/java/org/marjoramswitch/kernel/PlacementArbiters.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/PlacementArbiters.java
@@ -45,11 +45,11 @@
             return place.cell();
         }
         if (message instanceof PeerMessage.PlacementsHeld held) {
-            arbiter(held.cell()).held(from, held, nowMs);
+            arbiter(held.cell()).takeOver(from, held, nowMs);
             return held.cell();
         }
         if (message instanceof PeerMessage.PlaceWithdrawn withdrawn) {
-            arbiter(withdrawn.cell()).withdrawn(from, withdrawn.ask());
+            arbiter(withdrawn.cell()).withdraw(from, withdrawn.ask());
             return withdrawn.cell();
         }
         if (message instanceof PeerMessage.PlacementAnswering answering) {
@@ -72,7 +72,7 @@
 
     /** An entry is gone, or its link is new and it tells its state anew. */
     void forget(InstanceId entry, long nowMs) {
-        byCell.values().forEach(arbiter -> arbiter.forget(entry, nowMs));
+        byCell.values().forEach(arbiter -> arbiter.removeEntry(entry, nowMs));
     }
 
     /** Targets have come, left or moved to other cells. */
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
@@ -119,7 +119,7 @@
     }
 
     /** A request waits no longer. */
-    public void withdrawn(InstanceId entry, long ask) {
+    public void withdraw(InstanceId entry, long ask) {
         forgetWaiting(entry, ask);
     }
 
@@ -150,7 +150,7 @@
     }
 
     /** Takes over an entry's running requests. */
-    public void held(InstanceId entry, PeerMessage.PlacementsHeld message, long nowMs) {
+    public void takeOver(InstanceId entry, PeerMessage.PlacementsHeld message, long nowMs) {
         for (PeerMessage.HeldPlacement held : message.held()) {
             TargetLoad target = targets.get(held.target());
             boolean known = ofEntry(entry).containsKey(held.ask());
@@ -164,7 +164,7 @@
     }
 
     /** The entry is gone or unreachable; if it is alive it asks again. */
-    public void forget(InstanceId entry, long nowMs) {
+    public void removeEntry(InstanceId entry, long nowMs) {
         waiting.removeAll(entry).forEach(request -> showWaiting(request.customer()));
         Map<Long, RunningRequest> held = running.remove(entry);
         if (held != null) {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/PlacementArbiterTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/PlacementArbiterTest.java
@@ -165,7 +165,7 @@
             List<Action> actions = new ArrayList<>();
             other.decide(nowMs, actions::add);
             assertEquals(here, placedIn(actions).findFirst().orElseThrow().target());
-            other.forget(OTHER_ENTRY, nowMs);
+            other.removeEntry(OTHER_ENTRY, nowMs);
         }
     }
 
@@ -234,10 +234,10 @@
         for (long ask = 1; ask <= SLOTS; ask++) {
             held.add(new PeerMessage.HeldPlacement(ask, CUSTOMER, TargetId.of("t1"), 0, 0, true));
         }
-        arbiter.held(OTHER_ENTRY, new PeerMessage.PlacementsHeld(CELL, held), nowMs);
+        arbiter.takeOver(OTHER_ENTRY, new PeerMessage.PlacementsHeld(CELL, held), nowMs);
         assertNull(place());
         long waiting = asks;
-        arbiter.forget(OTHER_ENTRY, nowMs);
+        arbiter.removeEntry(OTHER_ENTRY, nowMs);
         decide();
         assertEquals(TargetId.of("t1"), placed.get(waiting));
     }
@@ -275,7 +275,7 @@
         place();
         place();
         long waiting = asks;
-        arbiter.withdrawn(ENTRY, waiting);
+        arbiter.withdraw(ENTRY, waiting);
         end(running, PlacementEnd.SERVED);
         assertNull(placed.get(waiting));
     }
