--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/CustomerBacklog.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/CustomerBacklog.java
@@ -5,35 +5,35 @@
 import java.util.NavigableSet;
 import java.util.TreeSet;
 
-/** The requests of one customer that wait at an arbiter and can still be in time, and what they ask for together. */
+/** The waiting requests of one customer at an arbiter that can still meet their objective, with their total cost. */
 final class CustomerBacklog {
     static final CustomerBacklog EMPTY = new CustomerBacklog();
     /**
-     * Of equal urgency the one that came first. By the objective's end, requests with a short objective would always go
-     * before those with a longer one, which under overload are then the only ones to get late.
+     * Breaks ties in urgency by arrival. Ordering by the end of the objective would always put requests with a short
+     * objective first, so that under overload only those with a longer one became late.
      */
-    private static final Comparator<WaitingRequest> MOST_PRESSING_FIRST =
+    private static final Comparator<WaitingRequest> MOST_URGENT_FIRST =
             Comparator.comparingInt(WaitingRequest::urgency).thenComparingLong(WaitingRequest::arrival);
 
-    private final NavigableSet<WaitingRequest> requests = new TreeSet<>(MOST_PRESSING_FIRST);
+    private final NavigableSet<WaitingRequest> requests = new TreeSet<>(MOST_URGENT_FIRST);
     private long costTokens;
-    private long readingTokens;
+    private long prefillTokens;
 
     void add(WaitingRequest request) {
         if (requests.add(request)) {
             costTokens += request.costTokens();
-            readingTokens += request.readingTokens();
+            prefillTokens += request.prefillTokens();
         }
     }
 
     void remove(WaitingRequest request) {
         if (requests.remove(request)) {
             costTokens -= request.costTokens();
-            readingTokens -= request.readingTokens();
+            prefillTokens -= request.prefillTokens();
         }
     }
 
-    /** The most pressing first. */
+    /** The requests, most urgent first. */
     NavigableSet<WaitingRequest> requests() {
         return Collections.unmodifiableNavigableSet(requests);
     }
@@ -46,7 +46,7 @@
         return costTokens;
     }
 
-    long readingTokens() {
-        return readingTokens;
+    long prefillTokens() {
+        return prefillTokens;
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/FirstByteModel.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/FirstByteModel.java
@@ -1,30 +1,30 @@
 package org.marjoramswitch.kernel.placement;
 
 /**
- * How long a target takes to the first byte of its answer, learnt from what was seen: a fixed part and a time for each
- * prompt token that it has to read first, those of earlier requests included.
+ * Predicts a target's time to first byte as a fixed part plus a time for each prompt token that it has to prefill
+ * first, including those of earlier requests.
  *
- * <p>A least-squares line through the newest observations, each counting a little less than the one after it. It begins
- * with a guess that is slower than the engines known so far, so that an arbiter that knows nothing sends too little
- * rather than too much; the guess counts as {@value #PRIOR_OBSERVATIONS} observations.
+ * <p>The model is a least-squares line through the newest observations, weighted by exponential decay. The initial
+ * estimate is slower than the known engines, so that an arbiter without observations sends too little rather than too
+ * much; it counts as {@value #PRIOR_OBSERVATIONS} observations.
  *
- * <p>Where all observations have about the same number of tokens the slope cannot be told from the fixed part. The
- * slope is therefore held within bounds, and the fixed part follows from it.
+ * <p>Edge cases: if all observations have about the same number of tokens, the slope cannot be separated from the fixed
+ * part. The slope is therefore clamped to bounds, and the fixed part follows from it.
  */
 final class FirstByteModel {
     private static final double PRIOR_OBSERVATIONS = 20;
     private static final double PRIOR_FIXED_MS = 20;
     private static final double PRIOR_MS_PER_TOKEN = 1.0 / 60;
     private static final double PRIOR_TOKENS = 4_000;
-    /** From so many on, what was seen outweighs the guess. */
-    private static final long PROVEN_OBSERVATIONS = 20;
+    /** From this many on, observations outweigh the initial estimate. */
+    private static final long MIN_OBSERVATIONS = 20;
 
-    /** The newest some 300 observations count: a second or two of a pool under load. */
-    private static final double KEEP = 1 - 1.0 / 300;
+    /** About the newest 300 observations count: one to two seconds of a pool under load. */
+    private static final double DECAY = 1 - 1.0 / 300;
 
-    private static final double LEAST_MS_PER_TOKEN = 1.0 / 1_000;
-    private static final double MOST_MS_PER_TOKEN = 1.0 / 5;
-    private static final double MOST_FIXED_MS = 200;
+    private static final double MIN_MS_PER_TOKEN = 1.0 / 1_000;
+    private static final double MAX_MS_PER_TOKEN = 1.0 / 5;
+    private static final double MAX_FIXED_MS = 200;
 
     private long observations;
     private double weight;
@@ -40,21 +40,25 @@
         add(PRIOR_TOKENS, PRIOR_FIXED_MS + PRIOR_TOKENS * PRIOR_MS_PER_TOKEN, PRIOR_OBSERVATIONS / 2);
     }
 
-    /** A first byte came {@code tookMs} after its request was placed behind {@code tokens} to be read, its own included. */
-    void observe(double tokens, double tookMs) {
+    /**
+     * Records that a first byte arrived {@code elapsedMs} after its request was placed.
+     *
+     * @param tokens prompt tokens to prefill before the first byte, including the request's own
+     */
+    void observe(double tokens, double elapsedMs) {
         observations++;
-        weight *= KEEP;
-        sumTokens *= KEEP;
-        sumMs *= KEEP;
-        sumTokensTokens *= KEEP;
-        sumTokensMs *= KEEP;
-        add(tokens, tookMs, 1);
+        weight *= DECAY;
+        sumTokens *= DECAY;
+        sumMs *= DECAY;
+        sumTokensTokens *= DECAY;
+        sumTokensMs *= DECAY;
+        add(tokens, elapsedMs, 1);
         fit();
     }
 
-    /** Whether enough was seen to refuse a caller for it. */
-    boolean isProven() {
-        return observations >= PROVEN_OBSERVATIONS;
+    /** Whether there are enough observations to reject requests based on the model. */
+    boolean hasEnoughObservations() {
+        return observations >= MIN_OBSERVATIONS;
     }
 
     double msPerToken() {
@@ -69,22 +73,22 @@
         return fixedMs + tokens * msPerToken;
     }
 
-    private void add(double tokens, double ms, double times) {
-        weight += times;
-        sumTokens += times * tokens;
-        sumMs += times * ms;
-        sumTokensTokens += times * tokens * tokens;
-        sumTokensMs += times * tokens * ms;
+    private void add(double tokens, double ms, double observationWeight) {
+        weight += observationWeight;
+        sumTokens += observationWeight * tokens;
+        sumMs += observationWeight * ms;
+        sumTokensTokens += observationWeight * tokens * tokens;
+        sumTokensMs += observationWeight * tokens * ms;
     }
 
     private void fit() {
         double spread = sumTokensTokens - sumTokens * sumTokens / weight;
         double slope = spread <= 0 ? msPerToken : (sumTokensMs - sumTokens * sumMs / weight) / spread;
-        msPerToken = clamp(slope, LEAST_MS_PER_TOKEN, MOST_MS_PER_TOKEN);
-        fixedMs = clamp((sumMs - msPerToken * sumTokens) / weight, 0, MOST_FIXED_MS);
+        msPerToken = clamp(slope, MIN_MS_PER_TOKEN, MAX_MS_PER_TOKEN);
+        fixedMs = clamp((sumMs - msPerToken * sumTokens) / weight, 0, MAX_FIXED_MS);
     }
 
-    private static double clamp(double value, double least, double most) {
-        return Math.max(least, Math.min(most, value));
+    private static double clamp(double value, double min, double max) {
+        return Math.max(min, Math.min(max, value));
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/Mechanism.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/Mechanism.java
@@ -3,30 +3,30 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** A part of the placement that can be switched off, so that what it is worth can be measured. */
+/** A placement mechanism that can be switched off to measure its benefit. */
 public enum Mechanism {
-    /** Prompt parts are fetched from an engine that has read them. */
+    /** Engines fetch prompt parts from engines that have prefilled them. */
     FETCHING,
-    /** A session that no engine keeps goes to the engine that hashing names. */
+    /** A session that no engine has cached goes to the engine selected by rendezvous hashing. */
     SESSION_HOME,
-    /** Reading counts more than its own time. */
+    /** Prefill is weighted higher than its own time. */
     READING_WEIGHT,
-    /** In a full pool a request is not taken to a target where it costs the others much. */
+    /** In a full pool, a request is not sent to a target where it costs the other requests much. */
     DEAR_TARGETS,
-    /** Light customers catch up to an even share of the last seconds. */
+    /** Customers with low demand catch up to an even share of the last seconds. */
     EVEN_SHARE,
-    /** Large requests wait for their turn while they are served less than others. */
+    /** Large requests wait in the queue while they are served less often than others. */
     SIZE_BALANCE,
-    /** Late requests are held for targets with time to spare. */
+    /** Late requests are held for targets with spare capacity. */
     LATE_HOLDING,
-    /** A request whose turn cannot come in time is refused on arrival. */
+    /** A request that cannot be started in time is rejected on arrival. */
     EARLY_REFUSAL,
-    /** Targets that fail several requests in a row are left out for a while. */
+    /** Targets that fail several requests in a row are excluded for a while. */
     OUTLIER_EJECTION,
-    /** Callers that are refused together are told to come back at different times. */
+    /** Requests rejected together receive different retry delays. */
     RETRY_SPREAD;
 
-    /** The mechanism of this name, as settings and command lines spell it: in lower case, words joined by hyphens. */
+    /** Finds a mechanism by its name in settings and on command lines: lower case, words joined by hyphens. */
     public static Optional<Mechanism> named(String name) {
         for (Mechanism mechanism : values()) {
             if (mechanism.toString().equals(name)) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
@@ -26,36 +26,37 @@
 /**
  * Decides which request of a cell goes to which target, and when.
  *
- * <p>Engines admit requests in order of arrival, so requests are queued here, where they can be ordered, and an engine gets
- * only as many as keep it busy. A pass visits the customers with waiting requests in order of their virtual counters
- * ({@link FairShares}), the lowest first, and starts each one's most urgent request for which {@link TargetChoice} finds a
- * target. Customers with high demand therefore wait behind those with low demand, and no target is kept idle.
+ * <p>Engines admit requests in order of arrival, so requests are queued here, where they can be ordered, and an engine
+ * gets only as many as keep it busy. A pass visits the customers with waiting requests in order of their virtual
+ * counters ({@link FairShares}), the lowest first, and starts each one's most urgent request for which
+ * {@link TargetChoice} finds a target. Customers with high demand therefore wait behind those with low demand, and no
+ * target is kept idle.
  *
  * <p>A request that finds no target is not tried again in the same pass. Between passes only new requests are tried, at
- * targets that the last pass left free. The queue is thus scanned a bounded number of times per second, whatever the number
- * of requests and events.
+ * targets that the last pass left free. The queue is thus scanned a bounded number of times per second, whatever the
+ * number of requests and events.
  *
- * <p>A request is late once its first byte can no longer meet its objective. Late requests use only capacity that the others
- * leave, are held for a bounded time ({@link LateRequestHold}), and are then rejected with a retry delay.
+ * <p>A request is late once its first byte can no longer meet its objective. Late requests use only capacity that the
+ * others leave, are held for a bounded time ({@link LateRequestHold}), and are then rejected with a retry delay.
  *
- * <p>All state is soft. Requests carry an id chosen by the entry, which re-registers its running requests after switching
- * arbiters. Two arbiters of one cell, on the two sides of a partition, may overload targets for a while, but no request is
- * started twice because its entry accepts only one answer.
+ * <p>All state is soft. Requests carry an id chosen by the entry instance, which re-registers its running requests
+ * after switching arbiters. Two arbiters of one cell, on the two sides of a partition, may overload targets for a
+ * while, but no request is started twice because its entry instance accepts only one response.
  *
- * <p>Cost: a pass is linear in the targets and in the customers waiting, with a bounded number of requests each; between
- * passes an event costs one choice. Not thread-safe.
+ * <p>Cost: a pass is linear in the targets and in the customers waiting, with a bounded number of requests each;
+ * between passes an event costs one choice. Not thread-safe.
  */
 public final class PlacementArbiter {
     /** Maximum requests examined per customer in one pass. */
     private static final int LOOKAHEAD = 8;
     /** Late requests held per slot: at most about one second of the cell's throughput. */
-    private static final double LATE_PER_SLOT = 0.25;
+    private static final double MAX_LATE_PER_SLOT = 0.25;
     /** Three in four first bytes arrive within this multiple of the prediction. */
     private static final double PREDICTION_MARGIN = 1.3;
-    /** Shorter than {@link TargetChoice#DEPTH_MS}, so that no engine runs dry between passes. */
+    /** Shorter than {@link TargetChoice#MIN_PREFILL_QUEUE_MS}, so that no engine runs idle between passes. */
     private static final long PASS_MS = 4;
-    /** Up to this many waiting requests every event triggers a pass, so that a freed target is used at once. */
-    private static final int FEW_WAITING = 16;
+    /** Up to this many waiting requests, every event triggers a pass, so that a freed target is used immediately. */
+    private static final int MAX_WAITING_FOR_FULL_PASS = 16;
 
     private static final double INITIAL_SERVICE_MS = 50;
     private static final double SERVICE_GAIN = 0.05;
@@ -66,7 +67,7 @@
     private final FirstByteModel model = new FirstByteModel();
     private final WaitingQueues waiting = new WaitingQueues();
     private final SizeBalance sizes = new SizeBalance();
-    private final EvenShare evenShare = new EvenShare();
+    private final FairShareEstimate fairShare = new FairShareEstimate();
     private final TargetPool targets = TargetPool.create();
     private final Map<InstanceId, Map<Long, RunningRequest>> running = new HashMap<>();
     /** Requests received since the last pass. */
@@ -98,19 +99,22 @@
         return cell;
     }
 
-    /** Sets the targets that may be given work. */
+    /** Sets the targets that may receive requests; those in {@code leaving} are excluded. */
     public void targets(Collection<TargetSettings> settings, Set<TargetId> leaving) {
         targets.targets(settings, leaving);
         lastPass = null;
     }
 
-    /** A request of an entry waits for a target. */
-    public void place(InstanceId entry, PeerMessage.Place asked, long nowMs) {
-        if (running.getOrDefault(entry, Map.of()).containsKey(asked.ask())) {
+    /**
+     * Queues a request of an entry instance. Ignored if the request is running; replaces a waiting one with the same
+     * id.
+     */
+    public void place(InstanceId entry, PeerMessage.Place message, long nowMs) {
+        if (running.getOrDefault(entry, Map.of()).containsKey(message.ask())) {
             return;
         }
-        forgetWaiting(entry, asked.ask());
-        add(WaitingRequest.of(entry, asked, arrivals++, nowMs), nowMs);
+        removeWaiting(entry, message.ask());
+        add(WaitingRequest.of(entry, message, arrivals++, nowMs), nowMs);
     }
 
     /** Whether any request waits for a target. */
@@ -118,30 +122,30 @@
         return !waiting.isEmpty();
     }
 
-    /** A request waits no longer. */
-    public void withdraw(InstanceId entry, long ask) {
-        forgetWaiting(entry, ask);
+    /** Removes a waiting request. Has no effect on a running one. */
+    public void withdraw(InstanceId entry, long placementId) {
+        removeWaiting(entry, placementId);
     }
 
-    /** The first byte of a request's answer is there. */
-    public void answering(InstanceId entry, long ask, long nowMs) {
-        RunningRequest request = running.getOrDefault(entry, Map.of()).get(ask);
+    /** Records that the first byte of a request's response has arrived. */
+    public void answering(InstanceId entry, long placementId, long nowMs) {
+        RunningRequest request = running.getOrDefault(entry, Map.of()).get(placementId);
         if (request == null || request.answering()) {
             return;
         }
-        ofEntry(entry).put(ask, request.nowAnswering());
+        runningOf(entry).put(placementId, request.withAnswering());
         TargetLoad target = targetOf(request);
         if (target != null) {
-            target.read(request.prompt(), request.readingTokens(), nowMs);
+            target.prefilled(request.prompt(), request.prefillTokens(), nowMs);
         }
         if (request.tokensAhead() > 0) {
             model.observe(request.tokensAhead(), nowMs - request.startedAtMs());
         }
     }
 
-    /** A request has ended at its target. */
+    /** Records that a request has ended at its target. */
     public void ended(InstanceId entry, PeerMessage.PlacementEnded ended, long nowMs) {
-        RunningRequest request = ofEntry(entry).remove(ended.ask());
+        RunningRequest request = runningOf(entry).remove(ended.ask());
         if (request == null) {
             return;
         }
@@ -149,46 +153,49 @@
         settle(request, ended, nowMs);
     }
 
-    /** Takes over an entry's running requests. */
+    /** Takes over an entry instance's running requests. */
     public void takeOver(InstanceId entry, PeerMessage.PlacementsHeld message, long nowMs) {
         for (PeerMessage.HeldPlacement held : message.held()) {
             TargetLoad target = targets.get(held.target());
-            boolean known = ofEntry(entry).containsKey(held.ask());
+            boolean known = runningOf(entry).containsKey(held.ask());
             if (target == null || known) {
                 continue;
             }
             RunningRequest request = RunningRequest.takenOver(held, target, nowMs);
-            ofEntry(entry).put(held.ask(), request);
-            target.held(request.readingTokens(), request.memoryTokens(), held.answering(), nowMs);
+            runningOf(entry).put(held.ask(), request);
+            target.takeOver(request.prefillTokens(), request.memoryTokens(), held.answering(), nowMs);
         }
     }
 
-    /** The entry is gone or unreachable; if it is alive it asks again. */
+    /**
+     * Removes all requests of an entry instance that is gone or unreachable; if it is alive, it sends its requests
+     * again.
+     */
     public void removeEntry(InstanceId entry, long nowMs) {
-        waiting.removeAll(entry).forEach(request -> showWaiting(request.customer()));
+        waiting.removeAll(entry).forEach(request -> updateWaitingCount(request.customer()));
         Map<Long, RunningRequest> held = running.remove(entry);
         if (held != null) {
             held.values().forEach(request -> release(request, nowMs));
         }
     }
 
-    /** Target choices made so far, which the arbiter's cost is proportional to. */
+    /** Number of target choices so far, to which the arbiter's cost is proportional. */
     long choices() {
         return choices;
     }
 
-    /** Starts the requests that can be started and rejects those that have become useless. */
+    /** Starts the requests that can be started and rejects late ones whose hold has expired. */
     public void decide(long nowMs, ActionSink sink) {
-        noteLate(nowMs);
+        moveLate(nowMs);
         if (!waiting.isEmpty()) {
             place(nowMs, sink);
         }
-        refuseOver(nowMs, sink);
+        refuseExpired(nowMs, sink);
     }
 
     private void place(long nowMs, ActionSink sink) {
         TargetChoice choice = lastPass;
-        boolean few = waiting.inTimeCount() + waiting.lateCount() <= FEW_WAITING;
+        boolean few = waiting.inTimeCount() + waiting.lateCount() <= MAX_WAITING_FOR_FULL_PASS;
         if (choice == null || few || nowMs - choice.atMs() >= PASS_MS) {
             choice = TargetChoice.at(policy, model, meanServiceMs, targets, nowMs);
             lastPass = choice;
@@ -200,15 +207,16 @@
         placeLate(choice, nowMs, sink);
     }
 
-    private void add(WaitingRequest asked, long nowMs) {
-        long readingTokens = targets.holders().leastUncachedTokens(asked.prompt());
-        double firstByteMs = PREDICTION_MARGIN * (TargetChoice.DEPTH_MS / 2 + model.expectedMs(readingTokens));
-        SizeClass size = SizeClass.of(asked.objectiveAtMs() - nowMs, firstByteMs);
-        WaitingRequest request = asked.assessed(size, readingTokens);
+    private void add(WaitingRequest newRequest, long nowMs) {
+        long prefillTokens = targets.partIndex().minUncachedTokens(newRequest.prompt());
+        double firstByteMs =
+                PREDICTION_MARGIN * (TargetChoice.MIN_PREFILL_QUEUE_MS / 2 + model.expectedMs(prefillTokens));
+        SizeClass size = SizeClass.of(newRequest.objectiveAtMs() - nowMs, firstByteMs);
+        WaitingRequest request = newRequest.assessed(size, prefillTokens);
         long lateAtMs = request.objectiveAtMs() - Math.round(firstByteMs);
         if (size == SizeClass.LARGE && policy.has(Mechanism.SIZE_BALANCE) && sizes.favoursLarge()) {
-            long waitingMs = SizeClass.usualWaitMs(request.objectiveAtMs() - nowMs);
-            lateAtMs = Math.max(lateAtMs, nowMs + waitingMs);
+            long queueWaitMs = SizeClass.expectedQueueWaitMs(request.objectiveAtMs() - nowMs);
+            lateAtMs = Math.max(lateAtMs, nowMs + queueWaitMs);
         }
         if (lateAtMs <= nowMs) {
             addLate(request, nowMs);
@@ -216,81 +224,85 @@
         }
         waiting.addInTime(request, lateAtMs);
         if (policy.has(Mechanism.EVEN_SHARE)) {
-            shares.credit(evenShare.tokens(nowMs));
+            shares.credit(fairShare.tokens(nowMs));
         }
-        showWaiting(request.customer());
+        updateWaitingCount(request.customer());
         arrived.add(request);
-        if (policy.has(Mechanism.EARLY_REFUSAL) && model.isProven() && nowMs + turnAfterMs(request) > lateAtMs) {
-            forgetWaiting(request.entry(), request.ask());
+        if (policy.has(Mechanism.EARLY_REFUSAL)
+                && model.hasEnoughObservations()
+                && nowMs + estimatedWaitMs(request) > lateAtMs) {
+            removeWaiting(request.entry(), request.placementId());
             addLate(request, nowMs);
         }
     }
 
-    private double turnAfterMs(WaitingRequest request) {
-        int sound = lastPass == null ? targets.size() : lastPass.soundTargets();
-        return TurnEstimate.waitMs(request, waiting, shares, model.msPerToken(), sound);
+    private double estimatedWaitMs(WaitingRequest request) {
+        int healthy = lastPass == null ? targets.size() : lastPass.healthyTargets();
+        return QueueWaitEstimate.waitMs(request, waiting, shares, model.msPerToken(), healthy);
     }
 
     private void addLate(WaitingRequest request, long nowMs) {
         long holdMs = LateRequestHold.holdMs(request.endAtMs(), nowMs);
         boolean worthHolding = policy.has(Mechanism.LATE_HOLDING)
                 && waiting.inTimeCount() == 0
-                && waiting.lateCount() < mostLate()
-                && hasSpare();
+                && waiting.lateCount() < maxLate()
+                && hasSpareCapacity();
         waiting.addLate(request, worthHolding ? nowMs + holdMs : nowMs);
     }
 
     /** Whether any target has capacity for late requests; otherwise holding one only delays its rejection. */
-    private boolean hasSpare() {
+    private boolean hasSpareCapacity() {
         return targets.all().stream().anyMatch(target -> target.load() <= TargetChoice.SPARE_LOAD);
     }
 
-    private double mostLate() {
-        return LATE_PER_SLOT * targets.slots();
+    private double maxLate() {
+        return MAX_LATE_PER_SLOT * targets.slots();
     }
 
-    /** Moves requests that can no longer be in time to the late ones. */
-    private void noteLate(long nowMs) {
+    /** Moves requests that can no longer meet their objective to the late queue. */
+    private void moveLate(long nowMs) {
         for (WaitingRequest next = waiting.nextLate(nowMs); next != null; next = waiting.nextLate(nowMs)) {
-            forgetWaiting(next.entry(), next.ask());
+            removeWaiting(next.entry(), next.placementId());
             addLate(next, nowMs);
         }
     }
 
-    private void refuseOver(long nowMs, ActionSink sink) {
-        for (WaitingRequest over = waiting.nextOver(nowMs); over != null; over = waiting.nextOver(nowMs)) {
-            waiting.remove(over.entry(), over.ask());
-            refuse(over, nowMs, sink);
+    private void refuseExpired(long nowMs, ActionSink sink) {
+        for (WaitingRequest expired = waiting.nextHoldExpired(nowMs);
+                expired != null;
+                expired = waiting.nextHoldExpired(nowMs)) {
+            waiting.remove(expired.entry(), expired.placementId());
+            refuse(expired, nowMs, sink);
         }
     }
 
     private void refuse(WaitingRequest request, long nowMs, ActionSink sink) {
-        sizes.ended(request.size(), false);
+        sizes.recordOutcome(request.size(), false);
         sink.accept(new Action.SendPeer(
                 request.entry(),
                 new PeerMessage.NotPlaced(
                         cell,
-                        request.ask(),
+                        request.placementId(),
                         RetryAfterPolicy.afterMs(request, policy, nowMs),
                         nowMs - request.arrivedAtMs())));
         sink.accept(PlacementLog.notPlaced(cell, request, waiting, targets.size(), nowMs));
     }
 
     private void placeInTime(TargetChoice choice, long nowMs, ActionSink sink) {
-        Set<CustomerId> triedOut = new HashSet<>();
+        Set<CustomerId> exhausted = new HashSet<>();
         Set<Long> tried = new HashSet<>();
-        FairAccount next = leastOf(triedOut);
+        FairAccount next = lowestExcept(exhausted);
         while (next != null && choice.hasOpen()) {
             if (!placeNextOf(next.customer(), choice, tried, nowMs, sink)) {
-                triedOut.add(next.customer());
+                exhausted.add(next.customer());
             }
-            next = leastOf(triedOut);
+            next = lowestExcept(exhausted);
         }
     }
 
-    private @Nullable FairAccount leastOf(Set<CustomerId> triedOut) {
+    private @Nullable FairAccount lowestExcept(Set<CustomerId> exhausted) {
         for (FairAccount account : shares.inOrder()) {
-            if (!triedOut.contains(account.customer())) {
+            if (!exhausted.contains(account.customer())) {
                 return account;
             }
         }
@@ -298,21 +310,21 @@
     }
 
     /**
-     * Starts the customer's most pressing request that there is a target for.
+     * Starts the customer's most urgent request that has a target.
      *
-     * @param tried the requests, by their arrival, that found none in this pass
+     * @param tried arrival numbers of the requests that found no target in this pass
      */
     private boolean placeNextOf(
             CustomerId customer, TargetChoice choice, Set<Long> tried, long nowMs, ActionSink sink) {
-        int seen = 0;
+        int examined = 0;
         for (WaitingRequest request : waiting.of(customer).requests()) {
-            TargetChoice.Chosen chosen = tried.add(request.arrival()) ? inTime(request, choice) : null;
+            TargetChoice.Chosen chosen = tried.add(request.arrival()) ? chooseInTime(request, choice) : null;
             if (chosen != null) {
                 start(request, choice, chosen, "in_time", nowMs, sink);
                 return true;
             }
-            seen++;
-            if (seen == LOOKAHEAD) {
+            examined++;
+            if (examined == LOOKAHEAD) {
                 return false;
             }
         }
@@ -322,16 +334,16 @@
     /** Tries only new requests; the others found no target in the last pass. */
     private void placeArrived(TargetChoice choice, long nowMs, ActionSink sink) {
         for (WaitingRequest request : arrived) {
-            TargetChoice.Chosen chosen = waiting.isInTime(request) ? inTime(request, choice) : null;
+            TargetChoice.Chosen chosen = waiting.isInTime(request) ? chooseInTime(request, choice) : null;
             if (chosen != null) {
                 start(request, choice, chosen, "in_time", nowMs, sink);
             }
         }
     }
 
-    private TargetChoice.@Nullable Chosen inTime(WaitingRequest request, TargetChoice choice) {
+    private TargetChoice.@Nullable Chosen chooseInTime(WaitingRequest request, TargetChoice choice) {
         choices++;
-        return choice.inTime(request);
+        return choice.chooseInTime(request);
     }
 
     private void placeLate(TargetChoice choice, long nowMs, ActionSink sink) {
@@ -339,7 +351,7 @@
             if (waiting.inTimeCount() > 0) {
                 return;
             }
-            TargetChoice.Chosen chosen = choice.late(request);
+            TargetChoice.Chosen chosen = choice.chooseLate(request);
             if (chosen != null) {
                 start(request, choice, chosen, "late", nowMs, sink);
             }
@@ -354,20 +366,21 @@
             long nowMs,
             ActionSink sink) {
         TargetLoad target = chosen.target();
-        double unreadTokens = target.unreadTokens(nowMs, model);
-        forgetWaiting(request.entry(), request.ask());
-        sizes.ended(request.size(), true);
-        target.started(request.prompt(), chosen.readingTokens(), request.memoryTokens(), nowMs);
+        double pendingTokens = target.pendingPrefillTokens(nowMs, model);
+        removeWaiting(request.entry(), request.placementId());
+        sizes.recordOutcome(request.size(), true);
+        target.started(request.prompt(), chosen.prefillTokens(), request.memoryTokens(), nowMs);
         choice.started(target);
         shares.charge(request.customer(), request.costTokens());
-        evenShare.charged(request.customer(), request.costTokens(), nowMs);
-        double tokensAhead = request.prompt().isEmpty() ? 0 : unreadTokens + chosen.readingTokens();
-        ofEntry(request.entry()).put(request.ask(), RunningRequest.placed(request, chosen, tokensAhead, nowMs));
+        fairShare.recordCharge(request.customer(), request.costTokens(), nowMs);
+        double tokensAhead = request.prompt().isEmpty() ? 0 : pendingTokens + chosen.prefillTokens();
+        runningOf(request.entry())
+                .put(request.placementId(), RunningRequest.placed(request, chosen, tokensAhead, nowMs));
         sink.accept(new Action.SendPeer(
                 request.entry(),
                 new PeerMessage.Placed(
                         cell,
-                        request.ask(),
+                        request.placementId(),
                         target.settings().id(),
                         chosen.fetchFrom(),
                         nowMs - request.arrivedAtMs())));
@@ -381,11 +394,11 @@
         }
         target.ended(request.memoryTokens(), nowMs);
         if (!request.answering()) {
-            target.notRead(request.prompt(), request.readingTokens(), nowMs);
+            target.notPrefilled(request.prompt(), request.prefillTokens(), nowMs);
         }
     }
 
-    /** Null where the target is gone, or has started again and knows nothing of the request. */
+    /** The request's target; null if it is gone, or has restarted and thus lost the request. */
     private @Nullable TargetLoad targetOf(RunningRequest request) {
         return targets.get(request.target(), request.targetStartedAtMs());
     }
@@ -399,30 +412,30 @@
             return;
         }
         if (ended.end() == PlacementEnd.FAILED || ended.end() == PlacementEnd.REFUSED) {
-            // A target that refuses at once frees its slots soonest, and would draw the whole queue through itself.
+            // A target that refuses connections immediately always has free slots and would attract the whole queue.
             if (policy.has(Mechanism.OUTLIER_EJECTION)) {
                 target.health().failed(nowMs);
             }
         } else if (ended.end() == PlacementEnd.SERVED) {
-            long tookMs = nowMs - request.startedAtMs();
+            long elapsedMs = nowMs - request.startedAtMs();
             target.health().succeeded();
-            target.served(tookMs, meanServiceMs, nowMs);
-            meanServiceMs += SERVICE_GAIN * (tookMs - meanServiceMs);
+            target.served(elapsedMs, meanServiceMs, nowMs);
+            meanServiceMs += SERVICE_GAIN * (elapsedMs - meanServiceMs);
         }
     }
 
-    private void forgetWaiting(InstanceId entry, long ask) {
-        WaitingRequest request = waiting.remove(entry, ask);
+    private void removeWaiting(InstanceId entry, long placementId) {
+        WaitingRequest request = waiting.remove(entry, placementId);
         if (request != null) {
-            showWaiting(request.customer());
+            updateWaitingCount(request.customer());
         }
     }
 
-    private void showWaiting(CustomerId customer) {
+    private void updateWaitingCount(CustomerId customer) {
         shares.waiting(customer, waiting.of(customer).size());
     }
 
-    private Map<Long, RunningRequest> ofEntry(InstanceId entry) {
+    private Map<Long, RunningRequest> runningOf(InstanceId entry) {
         return running.computeIfAbsent(entry, missing -> new LinkedHashMap<>());
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementLog.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementLog.java
@@ -4,14 +4,14 @@
 import org.marjoramswitch.kernel.action.Decision;
 import org.marjoramswitch.kernel.model.CellId;
 
-/** The lines of an arbiter's decisions, each with what decided it. */
+/** Builds the log records of an arbiter's decisions, each with the values it is based on. */
 final class PlacementLog {
     private PlacementLog() {}
 
     /**
-     * A request goes to a target.
+     * Logs that a request goes to a target.
      *
-     * @param tokensAhead what the target reads before its first byte, its own included
+     * @param tokensAhead prompt tokens that the target prefills before the request's first byte, including its own
      */
     static Action placed(
             CellId cell,
@@ -30,7 +30,7 @@
                 "entry",
                 request.entry(),
                 "ask",
-                request.ask(),
+                request.placementId(),
                 "customer",
                 request.customer(),
                 "target",
@@ -61,7 +61,7 @@
                 waiting.inTimeCount()));
     }
 
-    /** A request is refused. */
+    /** Logs that a request is rejected. */
     static Action notPlaced(CellId cell, WaitingRequest request, WaitingQueues waiting, int targets, long nowMs) {
         return new Action.Decided(Decision.of(
                 "not_placed",
@@ -70,7 +70,7 @@
                 "entry",
                 request.entry(),
                 "ask",
-                request.ask(),
+                request.placementId(),
                 "customer",
                 request.customer(),
                 "waitedMs",
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementPolicy.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementPolicy.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * How requests are placed.
+ * Selects the mechanisms that place requests.
  *
- * @param mechanisms those in use
+ * @param mechanisms the enabled mechanisms
  */
 public record PlacementPolicy(Set<Mechanism> mechanisms) {
     private static final PlacementPolicy FULL = new PlacementPolicy(EnumSet.allOf(Mechanism.class));
@@ -21,7 +21,7 @@
         return FULL;
     }
 
-    /** All mechanisms but these. */
+    /** Enables all mechanisms except these. */
     public static PlacementPolicy without(Collection<Mechanism> switchedOff) {
         EnumSet<Mechanism> left = EnumSet.allOf(Mechanism.class);
         left.removeAll(switchedOff);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/PromptCache.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/PromptCache.java
@@ -8,56 +8,60 @@
 import org.marjoramswitch.kernel.model.PromptPart;
 
 /**
- * The prompt parts that one engine probably keeps: those of the requests it was sent, the least recently used dropped
- * first, as engines do. A part counts as kept only where all parts before it are. It is a guess, since the engine also
- * drops parts to make room for running requests; a wrong one costs reading time only.
+ * Tracks the prompt parts that one engine probably has cached: those of the requests sent to it, evicted in
+ * least-recently-used order as engines do. A part counts as cached only if all parts before it are. The result is an
+ * estimate, since the engine also evicts parts to make room for running requests; a wrong one only costs prefill time.
  *
- * <p>A part that was sent is one that the engine will have read when the next request gets there, which is enough to send
- * that one after it. Another engine finds it only once it was read, which the first byte of an answer shows.
+ * <p>A dispatched part will have been prefilled by the time the engine reaches the next request, which is enough to
+ * send that request there. Other engines can fetch a part only after its prefill, which the first byte of a response
+ * shows.
  */
 final class PromptCache {
-    /** Bounds the book of an engine whose memory is not known. */
+    /** Bounds the entries for an engine whose memory size is unknown. */
     private static final int MAX_PARTS = 20_000;
 
-    /** The least recently used first; in order of putting, so that a look-up for a choice does not count as a use. */
-    private final Map<Long, Kept> partsById = new LinkedHashMap<>();
+    /**
+     * In insertion order, the least recently used first. Not in access order, so that a lookup for a choice does not
+     * count as a use.
+     */
+    private final Map<Long, CachedPart> partsById = new LinkedHashMap<>();
 
-    private final LongConsumer onKept;
+    private final LongConsumer onAdded;
     private final LongConsumer onDropped;
-    private long keptTokens;
+    private long cachedTokens;
 
-    private PromptCache(LongConsumer onKept, LongConsumer onDropped) {
-        this.onKept = onKept;
+    private PromptCache(LongConsumer onAdded, LongConsumer onDropped) {
+        this.onAdded = onAdded;
         this.onDropped = onDropped;
     }
 
     /**
-     * An empty book.
+     * Creates an empty cache.
      *
-     * @param onKept told of each part that is new in it
-     * @param onDropped told of each part that leaves it
+     * @param onAdded receives the id of each part that is added
+     * @param onDropped receives the id of each part that is evicted or removed
      */
-    static PromptCache create(LongConsumer onKept, LongConsumer onDropped) {
-        return new PromptCache(onKept, onDropped);
+    static PromptCache create(LongConsumer onAdded, LongConsumer onDropped) {
+        return new PromptCache(onAdded, onDropped);
     }
 
-    /** The tokens of the prompt that the engine would have to read. */
+    /** The prompt tokens that the engine would have to prefill. */
     long uncachedTokens(List<PromptPart> prompt) {
         long tokens = 0;
-        boolean kept = true;
+        boolean cached = true;
         for (PromptPart part : prompt) {
-            kept = kept && partsById.containsKey(part.id());
-            tokens += kept ? 0 : part.tokens();
+            cached = cached && partsById.containsKey(part.id());
+            tokens += cached ? 0 : part.tokens();
         }
         return tokens;
     }
 
-    /** The tokens of the prompt that another engine would find here. */
-    long readTokens(List<PromptPart> prompt) {
+    /** The leading prompt tokens that another engine could fetch from this one. */
+    long prefilledTokens(List<PromptPart> prompt) {
         long tokens = 0;
         for (PromptPart part : prompt) {
-            Kept kept = partsById.get(part.id());
-            if (kept == null || !kept.read()) {
+            CachedPart cached = partsById.get(part.id());
+            if (cached == null || !cached.prefilled()) {
                 return tokens;
             }
             tokens += part.tokens();
@@ -65,58 +69,58 @@
         return tokens;
     }
 
-    /** The engine gets this prompt. */
-    void sent(List<PromptPart> prompt, long memoryTokens) {
+    /** Records that a request with this prompt was sent to the engine. */
+    void dispatched(List<PromptPart> prompt, long memoryTokens) {
         put(prompt, false);
         trim(memoryTokens);
     }
 
-    /** The engine has read this prompt, and keeps it at least while it answers. */
-    void read(List<PromptPart> prompt, long memoryTokens) {
+    /** Records that the engine has prefilled this prompt, which stays cached at least until the response ends. */
+    void prefilled(List<PromptPart> prompt, long memoryTokens) {
         put(prompt, true);
         trim(memoryTokens);
     }
 
-    /** The engine did not run the request of this prompt: what only that one brought is not there. */
-    void notRead(List<PromptPart> prompt) {
+    /** Removes the parts that were not prefilled, because the engine did not run the request. */
+    void notPrefilled(List<PromptPart> prompt) {
         for (PromptPart part : prompt) {
-            Kept kept = partsById.get(part.id());
-            if (kept != null && !kept.read()) {
+            CachedPart cached = partsById.get(part.id());
+            if (cached != null && !cached.prefilled()) {
                 partsById.remove(part.id());
-                keptTokens -= kept.tokens();
+                cachedTokens -= cached.tokens();
                 onDropped.accept(part.id());
             }
         }
     }
 
-    private void put(List<PromptPart> prompt, boolean read) {
+    private void put(List<PromptPart> prompt, boolean prefilled) {
         for (PromptPart part : prompt) {
-            Kept known = partsById.remove(part.id());
-            boolean readBefore = known != null && known.read();
-            partsById.put(part.id(), new Kept(part.tokens(), read || readBefore));
-            keptTokens += part.tokens() - (known == null ? 0 : known.tokens());
+            CachedPart known = partsById.remove(part.id());
+            boolean prefilledBefore = known != null && known.prefilled();
+            partsById.put(part.id(), new CachedPart(part.tokens(), prefilled || prefilledBefore));
+            cachedTokens += part.tokens() - (known == null ? 0 : known.tokens());
             if (known == null) {
-                onKept.accept(part.id());
+                onAdded.accept(part.id());
             }
         }
     }
 
     private void trim(long memoryTokens) {
-        Iterator<Map.Entry<Long, Kept>> eldestFirst = partsById.entrySet().iterator();
-        while (partsById.size() > MAX_PARTS || (memoryTokens > 0 && keptTokens > memoryTokens)) {
-            Map.Entry<Long, Kept> eldest = eldestFirst.next();
-            keptTokens -= eldest.getValue().tokens();
+        Iterator<Map.Entry<Long, CachedPart>> eldestFirst = partsById.entrySet().iterator();
+        while (partsById.size() > MAX_PARTS || (memoryTokens > 0 && cachedTokens > memoryTokens)) {
+            Map.Entry<Long, CachedPart> eldest = eldestFirst.next();
+            cachedTokens -= eldest.getValue().tokens();
             eldestFirst.remove();
             onDropped.accept(eldest.getKey());
         }
     }
 
-    /** The engine keeps nothing any more, or is gone. */
+    /** Removes all parts, because the engine has lost its cache or is gone. */
     void clear() {
         partsById.keySet().forEach(onDropped::accept);
         partsById.clear();
-        keptTokens = 0;
+        cachedTokens = 0;
     }
 
-    private record Kept(int tokens, boolean read) {}
+    private record CachedPart(int tokens, boolean prefilled) {}
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/PromptSources.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/PromptSources.java
@@ -6,16 +6,17 @@
 import org.marjoramswitch.kernel.model.PromptPart;
 
 /**
- * The engines that others fetch one prompt's kept parts from: of those that have read most of it, one in the data centre of
- * the engine that fetches where there is one, since a transfer between data centres takes longer.
+ * Selects the engine from which others fetch one prompt's cached parts: one with the longest prefilled prefix, in the
+ * data centre of the fetching engine if possible, since transfers between data centres take longer.
  *
- * <p>A prompt part is thereby read once in the fleet. Without it a request goes to the engine that keeps its prompt and waits
- * there, or makes another engine read again what the first one has: on a day of overload that was a tenth of all reading.
+ * <p>Fetching lets each prompt part be prefilled once in the fleet. Without it, a request waits for the engine that has
+ * its prompt cached, or another engine prefills the same tokens again, which amounts to a tenth of
+ * all prefill work on a day of overload.
  *
- * <p>An engine that is being avoided is no source: a fetch that finds nobody costs the reading after all.
+ * <p>An ejected engine is not a source: a fetch that fails costs the prefill after all.
  *
- * <p>Cost: the holders of the prompt's last kept part, until one is found that has read all before it; of a part that all
- * engines keep that is the first one, of a session's there are few.
+ * <p>Cost: linear in the holders of the prompt's last cached part, until one is found that has prefilled all parts
+ * before it. For a part that all engines have cached this is the first holder; the holders of a session's part are few.
  */
 final class PromptSources {
     static final PromptSources NONE = new PromptSources(List.of(), null, 0);
@@ -30,36 +31,36 @@
         this.nowMs = nowMs;
     }
 
-    static PromptSources of(List<PromptPart> prompt, PartHolders parts, long nowMs) {
+    static PromptSources of(List<PromptPart> prompt, PromptPartIndex partIndex, long nowMs) {
         Source best = null;
-        List<TargetLoad> holdersOfBest = List.of();
-        long readUpTo = prompt.stream().mapToLong(PromptPart::tokens).sum();
+        List<TargetLoad> bestHolders = List.of();
+        long tokensUpTo = prompt.stream().mapToLong(PromptPart::tokens).sum();
         for (int i = prompt.size() - 1; i >= 0; i--) {
-            List<TargetLoad> holders = parts.of(prompt.get(i));
+            List<TargetLoad> holders = partIndex.of(prompt.get(i));
             for (TargetLoad holder : holders) {
                 Source source = source(prompt, holder, nowMs);
                 if (source != null && (best == null || source.tokens() > best.tokens())) {
                     best = source;
-                    holdersOfBest = holders;
+                    bestHolders = holders;
                 }
-                if (best != null && best.tokens() >= readUpTo) {
-                    return new PromptSources(holdersOfBest, best, nowMs);
+                if (best != null && best.tokens() >= tokensUpTo) {
+                    return new PromptSources(bestHolders, best, nowMs);
                 }
             }
-            readUpTo -= prompt.get(i).tokens();
-            if (best != null && best.tokens() >= readUpTo) {
+            tokensUpTo -= prompt.get(i).tokens();
+            if (best != null && best.tokens() >= tokensUpTo) {
                 break;
             }
         }
-        return new PromptSources(holdersOfBest, best, nowMs);
+        return new PromptSources(bestHolders, best, nowMs);
     }
 
-    /** The most of the prompt that any engine has read and can be asked for. */
-    long mostTokens() {
+    /** The longest prefix, in tokens, that any source has prefilled. */
+    long maxTokens() {
         return best == null ? 0 : best.tokens();
     }
 
-    /** Where this target would fetch from, null where nobody else keeps any of the prompt. */
+    /** The source for this target; null if no other engine has any of the prompt cached. */
     @Nullable
     Source of(TargetLoad target, List<PromptPart> prompt) {
         if (best == null) {
@@ -70,8 +71,8 @@
             return best.target() == target ? null : best;
         }
         for (TargetLoad holder : holders) {
-            boolean near = holder.settings().dataCentre().equals(dataCentre);
-            Source source = near ? source(prompt, holder, nowMs) : null;
+            boolean sameDataCentre = holder.settings().dataCentre().equals(dataCentre);
+            Source source = sameDataCentre ? source(prompt, holder, nowMs) : null;
             if (source != null && source.tokens() == best.tokens()) {
                 return holder == target ? null : source;
             }
@@ -83,10 +84,10 @@
         if (!holder.settings().memory().fetches() || holder.isEjected(nowMs)) {
             return null;
         }
-        long tokens = holder.readTokens(prompt);
+        long tokens = holder.prefilledTokens(prompt);
         return tokens == 0 ? null : new Source(holder, tokens);
     }
 
-    /** @param tokens of the prompt that the target has read and keeps */
+    /** @param tokens length of the prompt prefix that the target has prefilled and cached */
     record Source(TargetLoad target, long tokens) {}
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/RetryAfterPolicy.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/RetryAfterPolicy.java
@@ -1,16 +1,19 @@
 package org.marjoramswitch.kernel.placement;
 
-/** When callers that are refused are told to come back. */
+/** Computes the retry delay of rejected requests. */
 public final class RetryAfterPolicy {
-    /** Of the time that a caller has left, when it is told to come back: overload lasts for seconds. */
-    private static final int RETRY_DIVISOR = 4;
+    /** The delay is this fraction of the caller's remaining time, since overload lasts for seconds. */
+    private static final int DIVISOR = 4;
 
-    private static final long LEAST_RETRY_AFTER_MS = 500;
-    private static final long MOST_RETRY_AFTER_MS = 4_000;
-    /** Refused together, callers should not come back together; each comes within so much of its time. */
-    private static final double RETRY_SPREAD = 0.5;
+    private static final long MIN_RETRY_AFTER_MS = 500;
+    private static final long MAX_RETRY_AFTER_MS = 4_000;
+    /**
+     * Width of the range around the mean delay over which delays are spread, so that requests rejected together do not
+     * return together.
+     */
+    private static final double SPREAD = 0.5;
 
-    private static final int SPREAD_PLACES = 16;
+    private static final int SPREAD_STEPS = 16;
 
     private RetryAfterPolicy() {}
 
@@ -21,17 +24,17 @@
     }
 
     /**
-     * @param endAtMs when the caller gives up
-     * @param number of the request; successive ones are spread
+     * @param endAtMs when the caller times out
+     * @param sequence sequence number of the request; consecutive numbers get different delays
      */
-    public static long spreadAfterMs(long endAtMs, long number, long nowMs) {
+    public static long spreadAfterMs(long endAtMs, long sequence, long nowMs) {
         long meanMs = meanAfterMs(endAtMs, nowMs);
-        double place = (double) (number % SPREAD_PLACES) / SPREAD_PLACES;
-        return Math.round(meanMs * (1 - RETRY_SPREAD / 2 + RETRY_SPREAD * place));
+        double step = (double) (sequence % SPREAD_STEPS) / SPREAD_STEPS;
+        return Math.round(meanMs * (1 - SPREAD / 2 + SPREAD * step));
     }
 
     private static long meanAfterMs(long endAtMs, long nowMs) {
-        long partMs = (endAtMs - nowMs) / RETRY_DIVISOR;
-        return Math.max(LEAST_RETRY_AFTER_MS, Math.min(MOST_RETRY_AFTER_MS, partMs));
+        long fractionMs = (endAtMs - nowMs) / DIVISOR;
+        return Math.max(MIN_RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, fractionMs));
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/RunningRequest.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/RunningRequest.java
@@ -9,10 +9,10 @@
 /**
  * A request that an arbiter placed at a target and that has not ended.
  *
- * @param targetStartedAtMs the start of the target that the request was placed at
- * @param prompt empty where another arbiter placed the request
- * @param readingTokens what the target had to read of its prompt, a fetched token counted as a part of one
- * @param tokensAhead what the target had to read before its first byte, its own tokens included
+ * @param targetStartedAtMs start time of the target at which the request was placed
+ * @param prompt empty if another arbiter placed the request
+ * @param prefillTokens prompt tokens that the target had to prefill, a fetched token counted as a fraction of one
+ * @param tokensAhead tokens that the target had to prefill before the first byte, including the request's own
  */
 record RunningRequest(
         CustomerId customer,
@@ -21,11 +21,11 @@
         List<PromptPart> prompt,
         long promptTokens,
         long outputTokens,
-        long readingTokens,
+        long prefillTokens,
         double tokensAhead,
         long startedAtMs,
         boolean answering) {
-    /** A request that this arbiter places at a target. */
+    /** Creates a request that this arbiter places at a target. */
     static RunningRequest placed(WaitingRequest request, TargetChoice.Chosen chosen, double tokensAhead, long nowMs) {
         return new RunningRequest(
                 request.customer(),
@@ -34,13 +34,13 @@
                 request.prompt(),
                 request.promptTokens(),
                 request.outputTokens(),
-                chosen.readingTokens(),
+                chosen.prefillTokens(),
                 tokensAhead,
                 nowMs,
                 false);
     }
 
-    /** A request that another arbiter placed at the target. */
+    /** Creates a request that another arbiter placed at the target. */
     static RunningRequest takenOver(PeerMessage.HeldPlacement held, TargetLoad target, long nowMs) {
         return new RunningRequest(
                 held.customer(),
@@ -63,7 +63,7 @@
         return WaitingRequest.cost(promptTokens, outputTokens);
     }
 
-    RunningRequest nowAnswering() {
+    RunningRequest withAnswering() {
         return new RunningRequest(
                 customer,
                 target,
@@ -71,7 +71,7 @@
                 prompt,
                 promptTokens,
                 outputTokens,
-                readingTokens,
+                prefillTokens,
                 tokensAhead,
                 startedAtMs,
                 true);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/SizeBalance.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/SizeBalance.java
@@ -1,36 +1,37 @@
 package org.marjoramswitch.kernel.placement;
 
 /**
- * Sees to it that requests are not passed over for their size alone.
+ * Prevents large requests from being starved because of their size.
  *
- * <p>A request whose prompt takes most of its objective to read has no time to wait in. Under overload, where every
- * request waits, such requests are late before their turn. With sizes as uneven as callers' are and eight engines asked
- * for 1.8 times what they can do, 0.27 of the largest tenth of the reports were served where 0.68 of all were. To treat
- * them like all others is no answer either: they are a tenth of the requests and half of the tokens, so that for each of
- * them a dozen others are refused.
+ * <p>A request whose prefill takes most of its objective has no slack to wait in the queue. Under overload, where every
+ * request waits, such requests become late before they are started. With the uneven prompt sizes of real callers and
+ * eight engines at 1.8 times their capacity, 0.27 of the largest tenth of the report requests would be served, compared
+ * to 0.68 of all. Equal treatment is no solution: these requests are a tenth of the requests and half of the tokens, so
+ * that serving one of them rejects a dozen others.
  *
- * <p>So the two are compared over the newest requests, and a large one may wait for its turn while its like are served
- * less than {@value #LEAST_SHARE} times as often as the others. Its answer is late, as it would be anyway, and comes: 0.43
- * of the largest tenth at that load, for 0.03 of the worth of all.
+ * <p>Therefore the served shares of both groups are compared over the newest requests, and a large request may wait in
+ * the queue while large requests are served less than {@value #MIN_RATIO} times as often as the others. Its response is
+ * late, as it would be anyway, but it is served: 0.43 of the largest tenth at that load, at a cost of 0.03 of the total
+ * value.
  *
- * <p>Cost: constant. Not thread-safe.
+ * <p>Cost: constant time. Not thread-safe.
  */
 final class SizeBalance {
-    /** Of the share of the others that is served, what large ones get at least; half would be too little for anybody. */
-    private static final double LEAST_SHARE = 0.7;
-    /** The newest some hundred requests of either sort count: seconds of a busy pool for the rarer large ones. */
-    private static final double KEEP = 1 - 1.0 / 100;
+    /** Minimum served share of large requests relative to that of the others; 0.5 would be too low for any caller. */
+    private static final double MIN_RATIO = 0.7;
+    /** About the newest hundred requests of each group count: seconds of a busy pool for the rarer large ones. */
+    private static final double DECAY = 1 - 1.0 / 100;
 
-    private final Share large = new Share();
-    private final Share others = new Share();
+    private final ServedShare large = new ServedShare();
+    private final ServedShare others = new ServedShare();
 
-    /** Whether a large request is to wait for its turn though it will be late. */
+    /** Whether a large request may wait in the queue although it will be late. */
     boolean favoursLarge() {
-        return large.served() < LEAST_SHARE * others.served();
+        return large.value() < MIN_RATIO * others.value();
     }
 
-    /** A request was placed, or refused. */
-    void ended(SizeClass size, boolean served) {
+    /** Records that a request was placed or rejected. */
+    void recordOutcome(SizeClass size, boolean served) {
         switch (size) {
             case LARGE -> large.count(served);
             case USUAL -> others.count(served);
@@ -38,18 +39,18 @@
         }
     }
 
-    /** Of the newest requests, those served; all before any was seen. */
-    private static final class Share {
-        private double asked = 1;
+    /** Tracks the share of the newest requests that were served; 1 before the first request. */
+    private static final class ServedShare {
+        private double totalCount = 1;
         private double servedCount = 1;
 
         void count(boolean served) {
-            asked = KEEP * asked + 1;
-            servedCount = KEEP * servedCount + (served ? 1 : 0);
+            totalCount = DECAY * totalCount + 1;
+            servedCount = DECAY * servedCount + (served ? 1 : 0);
         }
 
-        double served() {
-            return servedCount / asked;
+        double value() {
+            return servedCount / totalCount;
         }
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/SizeClass.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/SizeClass.java
@@ -1,28 +1,28 @@
 package org.marjoramswitch.kernel.placement;
 
-/** What the reading of its prompt leaves a request of its objective. */
+/** Classifies a request by the part of its objective that remains after its prefill. */
 enum SizeClass {
-    /** Less than requests wait for their turn under overload: it would hardly ever have its turn in time. */
+    /** Less time remains than requests wait under overload, so that it would rarely be started in time. */
     LARGE,
     USUAL,
-    /** Its objective was over when it came: a later try, which says nothing of its size. */
+    /** Its objective had expired on arrival: a retry, so its remaining time says nothing about its size. */
     NOT_COUNTED;
 
-    /** Of their objective, what requests wait for their turn under overload, by order of magnitude. */
-    private static final double WAITING_SHARE = 0.6;
+    /** The typical queue wait under overload as a share of the objective, by order of magnitude. */
+    private static final double QUEUE_WAIT_SHARE = 0.6;
 
     /**
-     * @param objectiveLeftMs until the first byte is late
-     * @param firstByteMs what the first byte takes where the request goes to a target at once
+     * @param objectiveLeftMs time until the first byte is late
+     * @param firstByteMs time to first byte if the request is started immediately
      */
     static SizeClass of(long objectiveLeftMs, double firstByteMs) {
         if (objectiveLeftMs <= 0) {
             return NOT_COUNTED;
         }
-        return objectiveLeftMs - firstByteMs < usualWaitMs(objectiveLeftMs) ? LARGE : USUAL;
+        return objectiveLeftMs - firstByteMs < expectedQueueWaitMs(objectiveLeftMs) ? LARGE : USUAL;
     }
 
-    static long usualWaitMs(long objectiveLeftMs) {
-        return Math.round(WAITING_SHARE * objectiveLeftMs);
+    static long expectedQueueWaitMs(long objectiveLeftMs) {
+        return Math.round(QUEUE_WAIT_SHARE * objectiveLeftMs);
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetChoice.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetChoice.java
@@ -9,81 +9,85 @@
 import org.marjoramswitch.kernel.model.TargetId;
 
 /**
- * Chooses the target of one request among those of a cell, by the time that each would cost.
+ * Selects the target of one request among those of a cell by estimated cost in milliseconds.
  *
- * <p>For a model engine the cost is the wait until it can take the request, the reading of what it does not keep of the
- * prompt, counted {@value #READING_WEIGHT} times since it also delays what runs there, and a little for its load. For a
- * plain service it is the mean time of its requests, longer the fuller it is: a target that has become slow is avoided
- * without anybody declaring it so.
+ * <p>For a model engine the cost is the wait until it can take the request, the prefill of the uncached part of the
+ * prompt, weighted by {@value #PREFILL_WEIGHT} since it also delays running requests, and a small term for its load.
+ * For a plain service it is the mean service time, increased by its load: a target that has become slow is avoided
+ * without being marked as such.
  *
- * <p>The target of the least cost may not be free. It is waited for as long as the request can still be in time there;
- * otherwise the best of the free ones is taken. So the requests of one session stay together until that would make one
- * of them late, and a session that one engine cannot carry spreads by itself: once two engines have read it, both are
- * candidates. In a full pool a request is not taken to an engine that would have to read a long session for it, though it
- * gets late by that. Measured with eight engines at one and a half times what they can do: 0.6 instead of 2.3 million
- * tokens read again in 20 s, and a fifth more worth served in time.
+ * <p>If the cheapest target is not free, the request waits for it as long as it can still meet its objective there;
+ * otherwise the cheapest free target is used. Thus the requests of a session stay together until one of them would
+ * become late. A session that exceeds the capacity of one engine spreads: once two engines have it cached, both are
+ * candidates. In a full pool a request is not sent to an engine that would have to prefill a long session for it, even
+ * if the request becomes late: with eight engines at 1.5 times their capacity, this reduces repeated prefill from 2.3
+ * to 0.6 million tokens in 20 s and raises the value served in time by a fifth.
  *
- * <p>Where engines fetch kept parts from one another, what another one has read counts as a small part of a reading, see
- * {@link PromptSources}.
+ * <p>Where engines can fetch cached parts from one another, tokens that another engine has prefilled count as a small
+ * fraction of a prefill, see {@link PromptSources}.
  *
- * <p>A session that no engine keeps goes to the one that rendezvous hashing names, which is the same for every arbiter:
- * a new arbiter knows nothing of what engines keep, and would otherwise scatter all sessions anew.
+ * <p>A session that no engine has cached goes to the engine selected by rendezvous hashing, which is the same for every
+ * arbiter: a new arbiter does not know the engines' caches and would otherwise scatter all sessions again.
  *
- * <p>Not all targets are looked at. What a target costs whatever the prompt is the same for every request, so the targets
- * stand in that order ({@link TargetOrder}). Those that keep more of the prompt than most do are few and found by
- * {@link PartHolders}; they are looked at first. All others have at least the rest of the prompt to read, so that from
- * the place in the order on where that costs more than the best target found, none can be better. The choice is the one
- * that looking at all of them would make.
+ * <p>Correctness: not every target is examined. The part of the cost that does not depend on the prompt is the same for
+ * every request, so targets are sorted by it ({@link TargetOrder}). The few targets that have more of the prompt cached
+ * than most are found with {@link PromptPartIndex} and examined first. All others have at least the remaining prompt to
+ * prefill, so the search ends at the position in the order where that costs more than the best target found. The result
+ * equals that of an exhaustive search.
  *
- * <p>An object holds for the few milliseconds of one pass: the order is that of its beginning, put right by
- * {@link #started}. A target that has gained room meanwhile is found by the next pass, where those who wait longest are
- * asked first.
+ * <p>An instance is valid for the few milliseconds of one pass: the order is that of the beginning of the pass, updated
+ * by {@link #started}. A target that gains capacity meanwhile is found by the next pass, in which the requests that
+ * have waited longest come first.
  *
- * <p>Cost: the begin of a pass is linear in the targets. A choice looks at the engines that keep the session and at the next
- * few in the order; under overload, where nearly all are full, it steps through the order without looking closer.
+ * <p>Cost: creating an instance is linear in the targets. A choice examines the engines that have the session cached
+ * and the next few in the order; under overload, when nearly all targets are full, it iterates over the order without
+ * computing further costs.
  */
 final class TargetChoice {
     /**
-     * Reading what another engine keeps takes an engine's time and memory from everybody, while a wait that still ends in
-     * time costs its caller nothing. Of the prompt tokens read again, nearly all were kept by another engine then. With a
-     * weight of 2 that was 343, 493 and 859 thousand tokens in 20 s at 0.7, 1 and 1.3 times what eight engines can do,
-     * with 8 it is 161, 211 and 466 thousand, at the same worth; with 12 little changes any more.
+     * Weight of prefill time. Prefilling tokens that another engine has cached takes engine time and memory from all
+     * requests, whereas a wait that still meets the objective costs the caller nothing. Nearly all tokens prefilled
+     * again are cached at another engine at that time. With a weight of 2 they are 343, 493 and 859 thousand in 20 s at
+     * 0.7, 1 and 1.3 times the capacity of eight engines, with 8 they are 161, 211 and 466 thousand, at the same value;
+     * a weight of 12 changes little further.
      */
-    private static final double READING_WEIGHT = 8;
-    /** The difference between an empty and a full engine in the time of a request, by order of magnitude. */
+    private static final double PREFILL_WEIGHT = 8;
+    /** Difference in service time between an empty and a full engine, by order of magnitude. */
     private static final double LOAD_MS = 30;
-    /** An engine always has this much to read, so that it is not idle while the next request is on its way. */
-    static final double DEPTH_MS = 25;
-    /** Predictions are off by about this factor; a wait that leaves less room is not risked. */
+    /** Prefill work kept queued at an engine, so that it does not run idle while the next request is in transit. */
+    static final double MIN_PREFILL_QUEUE_MS = 25;
+    /** Typical prediction error as a factor; a wait that leaves less slack is not risked. */
     private static final double PREDICTION_MARGIN = 1.25;
-    /** Up to this load a target has time to spare. */
+    /** Maximum load at which a target has spare capacity. */
     static final double SPARE_LOAD = 0.75;
-    /** What a request may cost more at a full target than at its best one, about a quarter of its own time. */
-    private static final double DEAR_MS = 15;
-    /** Of an unread session's reading time, what makes its home better than other engines. */
-    private static final double HOME_SHARE = 0.5;
+    /**
+     * Maximum additional cost at a full target compared to the best one: about a quarter of a request's service time.
+     */
+    private static final double MAX_EXTRA_COST_MS = 15;
+    /** Share of an uncached session's prefill time that is added to the cost of engines other than its home. */
+    private static final double HOME_PREFERENCE = 0.5;
 
     /**
-     * Of a reading, what a fetch of the same tokens counts at least: transfers take links, which operators pay for. What
-     * they pay for the two is as 1 to 12; the time of a transfer is a sixteenth of the reading's or less.
+     * Minimum cost of a fetched token relative to a prefilled one. Transfers use links that operators pay for: the
+     * ratio of the two prices is 1 to 12. The transfer time is at most a sixteenth of the prefill time.
      */
-    private static final double FETCH_SHARE = 1.0 / 12;
+    private static final double MIN_FETCH_COST_SHARE = 1.0 / 12;
     /**
-     * Of an engine's time, what a fetch has to save. Its setting-up of 1.7 to 5 ms delays the one request; what it saves is
-     * the time of all that the engine works on.
+     * Minimum engine time that a fetch must save. The setup of a fetch, 1.7 to 5 ms, delays only the one request,
+     * whereas the time saved benefits all requests on the engine.
      */
-    private static final double LEAST_SAVED_MS = 0.4;
+    private static final double MIN_SAVED_MS = 0.4;
 
-    /** A prompt part with more holders than that is taken for one that any engine may keep. */
-    private static final int FEW_HOLDERS = 8;
+    /** A prompt part with more holders than this is treated as one that any engine may have cached. */
+    private static final int MAX_SESSION_HOLDERS = 8;
 
     private final PlacementPolicy policy;
     private final FirstByteModel model;
     private final double meanServiceMs;
     private final TargetPool pool;
     private final long nowMs;
-    private final int soundTargets;
-    /** With most targets ejected the fault is elsewhere, and leaving out the few that are left would end the service. */
+    private final int healthyTargets;
+    /** With most targets ejected the cause is elsewhere, and excluding them would stop the service. */
     private final boolean ignoreHealth;
 
     private TargetChoice(
@@ -95,11 +99,11 @@
         this.nowMs = nowMs;
         int ejected = (int)
                 pool.all().stream().filter(target -> target.isEjected(nowMs)).count();
-        this.soundTargets = pool.size() - ejected;
+        this.healthyTargets = pool.size() - ejected;
         this.ignoreHealth = 2 * ejected > pool.size();
     }
 
-    /** The targets as they are now. */
+    /** Creates a choice with the current state of the targets. */
     static TargetChoice at(
             PlacementPolicy policy, FirstByteModel model, double meanServiceMs, TargetPool pool, long nowMs) {
         TargetChoice choice = new TargetChoice(policy, model, meanServiceMs, pool, nowMs);
@@ -111,37 +115,37 @@
         return nowMs;
     }
 
-    /** How many targets are not left out for their failures. */
-    int soundTargets() {
-        return soundTargets;
+    /** The number of targets that are not ejected because of failures. */
+    int healthyTargets() {
+        return healthyTargets;
     }
 
-    /** Whether any target takes a request now. */
+    /** Whether any target can take a request now. */
     boolean hasOpen() {
         return pool.order().hasOpen();
     }
 
-    /** A request was started at a target; the next choice sees it as it is from then on. */
+    /** Updates the order after a request was started at the target, for the next choice. */
     void started(TargetLoad target) {
         pool.order().update(target, this::waitMs, TargetChoice::loadMs);
     }
 
-    /** The target to start the request at now, null where it has to wait. */
+    /** The target at which to start the request now; null if the request has to wait. */
     @Nullable
-    Chosen inTime(WaitingRequest request) {
+    Chosen chooseInTime(WaitingRequest request) {
         if (!hasOpen()) {
             return null;
         }
-        return decide(request, request.prompt().isEmpty() ? bestOfAll(request) : bestOfEngines(request));
+        return decide(request, request.prompt().isEmpty() ? bestOfAll(request) : bestWithPrompt(request));
     }
 
-    /** As {@link #inTime}, by looking at every target; what the other is held against. */
+    /** Same as {@link #chooseInTime} with an exhaustive search; the reference for tests. */
     @Nullable
-    Chosen inTimeOfAll(WaitingRequest request) {
+    Chosen chooseInTimeExhaustively(WaitingRequest request) {
         return decide(request, bestOfAll(request));
     }
 
-    private @Nullable Chosen decide(WaitingRequest request, Best found) {
+    private @Nullable Chosen decide(WaitingRequest request, BestCandidates found) {
         Candidate best = found.best;
         Candidate bestFree = found.bestFree;
         if (best == null || bestFree == null) {
@@ -151,111 +155,125 @@
             return best.chosen();
         }
         double firstByteMs = PREDICTION_MARGIN
-                * (best.waitMs() + model.expectedMs(best.chosen().readingTokens()));
+                * (best.waitMs() + model.expectedMs(best.chosen().prefillTokens()));
         boolean canWait = nowMs + firstByteMs <= request.objectiveAtMs();
-        return canWait || isTooDear(bestFree, best) ? null : bestFree.chosen();
+        return canWait || isTooExpensive(bestFree, best) ? null : bestFree.chosen();
     }
 
-    private Best bestOfAll(WaitingRequest request) {
-        Best found = new Best();
-        Prospect prospect = prospect(request);
+    private BestCandidates bestOfAll(WaitingRequest request) {
+        BestCandidates found = new BestCandidates();
+        RequestContext context = context(request);
         for (TargetLoad target : candidates(request)) {
-            found.add(candidate(request, target, prospect));
+            found.add(candidate(request, target, context));
         }
         return found;
     }
 
-    /** The same as looking at all engines, without those that cannot be better than what was found. */
-    private Best bestOfEngines(WaitingRequest request) {
-        Best found = new Best();
-        Prospect prospect = prospect(request);
+    /** Finds the same candidates as an exhaustive search, but skips engines that cannot be better. */
+    private BestCandidates bestWithPrompt(WaitingRequest request) {
+        BestCandidates found = new BestCandidates();
+        RequestContext context = context(request);
         Predicate<TargetLoad> allowed = allowed(request);
-        long restTokens = addHolders(request, prospect, allowed, found);
-        TargetLoad home = prospect.home();
+        long minUncachedTokensOfOthers = addHolders(request, context, allowed, found);
+        TargetLoad home = context.home();
         if (home != null && allowed.test(home)) {
-            found.add(candidate(request, home, prospect));
+            found.add(candidate(request, home, context));
         }
-        addInOrder(request, prospect, allowed, leastWorkMs(request, restTokens, prospect), found);
+        addRanked(request, context, allowed, minWorkMs(request, minUncachedTokensOfOthers, context), found);
         return found;
     }
 
     /**
-     * Looks at the holders of the prompt's parts, the last part first, until one is reached that any engine may keep.
+     * Examines the holders of the prompt's parts, from the last part to the first, up to a part that any engine may
+     * have cached.
      *
-     * @return what all others have to read at least: what comes behind that part
+     * @return the minimum number of tokens that all other engines have to prefill: those behind that part
      */
-    private long addHolders(WaitingRequest request, Prospect prospect, Predicate<TargetLoad> allowed, Best found) {
-        long restTokens = 0;
+    private long addHolders(
+            WaitingRequest request, RequestContext context, Predicate<TargetLoad> allowed, BestCandidates found) {
+        long minUncachedTokensOfOthers = 0;
         for (int part = request.prompt().size() - 1; part >= 0; part--) {
-            List<TargetLoad> holders = pool.holders().of(request.prompt().get(part));
-            if (holders.size() > FEW_HOLDERS) {
-                return restTokens;
+            List<TargetLoad> holders = pool.partIndex().of(request.prompt().get(part));
+            if (holders.size() > MAX_SESSION_HOLDERS) {
+                return minUncachedTokensOfOthers;
             }
-            holders.stream().filter(allowed).forEach(holder -> found.add(candidate(request, holder, prospect)));
-            restTokens += request.prompt().get(part).tokens();
+            holders.stream().filter(allowed).forEach(holder -> found.add(candidate(request, holder, context)));
+            minUncachedTokensOfOthers += request.prompt().get(part).tokens();
         }
-        return restTokens;
-    }
-
-    /** Looks at the targets in their order until none that is left can be better. */
-    private void addInOrder(
-            WaitingRequest request, Prospect prospect, Predicate<TargetLoad> allowed, double leastWorkMs, Best found) {
-        for (TargetOrder.Standing standing : pool.order().standings()) {
-            double leastCostMs = standing.costMs() + leastWorkMs;
-            if (!found.mayBeBeaten(leastCostMs, true)) {
+        return minUncachedTokensOfOthers;
+    }
+
+    /** Examines the targets in order until none of the remaining ones can be better. */
+    private void addRanked(
+            WaitingRequest request,
+            RequestContext context,
+            Predicate<TargetLoad> allowed,
+            double minWorkMs,
+            BestCandidates found) {
+        for (TargetOrder.RankedTarget ranked : pool.order().ranking()) {
+            double minCostMs = ranked.costMs() + minWorkMs;
+            if (!found.canBeBeaten(minCostMs, true)) {
                 return;
             }
-            if (found.mayBeBeaten(leastCostMs, standing.isOpen()) && allowed.test(standing.target())) {
-                found.add(candidate(request, standing.target(), prospect));
+            if (found.canBeBeaten(minCostMs, ranked.isOpen()) && allowed.test(ranked.target())) {
+                found.add(candidate(request, ranked.target(), context));
             }
         }
     }
 
-    /** What a target costs beside wait and load that has {@code unreadTokens} of the prompt to read or to fetch, at least. */
-    private double leastWorkMs(WaitingRequest request, long unreadTokens, Prospect prospect) {
-        long keptTokens = request.promptTokens() - unreadTokens;
-        long fetchableTokens = Math.max(0, prospect.sources().mostTokens() - keptTokens);
-        double readingMs = (unreadTokens - (1 - FETCH_SHARE) * fetchableTokens) * model.msPerToken();
-        double strangeShare = prospect.home() == null ? 0 : HOME_SHARE;
-        // A fetch that saves less than the least is not made, so that keeping a little less can cost that much less.
-        return (readingWeight() + strangeShare) * Math.max(0, readingMs - LEAST_SAVED_MS);
+    /**
+     * Minimum cost, besides wait and load, at a target that has {@code uncachedTokens} of the prompt to prefill or
+     * fetch.
+     */
+    private double minWorkMs(WaitingRequest request, long uncachedTokens, RequestContext context) {
+        long cachedTokens = request.promptTokens() - uncachedTokens;
+        long fetchableTokens = Math.max(0, context.sources().maxTokens() - cachedTokens);
+        double prefillMs = (uncachedTokens - (1 - MIN_FETCH_COST_SHARE) * fetchableTokens) * model.msPerToken();
+        double awayFromHomeShare = context.home() == null ? 0 : HOME_PREFERENCE;
+        // A fetch that would save less than the minimum is not made, so having slightly less cached can reduce the cost
+        // by that much.
+        return (prefillWeight() + awayFromHomeShare) * Math.max(0, prefillMs - MIN_SAVED_MS);
     }
 
-    /** One that failed the request may serve it now; with no other left it is better than nothing. */
+    /** Excludes the targets that have already failed the request, unless no other target remains. */
     private Predicate<TargetLoad> allowed(WaitingRequest request) {
         Set<TargetId> excluded = request.excluded();
-        Predicate<TargetLoad> left =
+        Predicate<TargetLoad> notExcluded =
                 target -> !excluded.contains(target.settings().id());
-        boolean anyLeft = excluded.size() < pool.size() || pool.all().stream().anyMatch(left);
-        return anyLeft ? left : target -> true;
+        boolean anyRemaining =
+                excluded.size() < pool.size() || pool.all().stream().anyMatch(notExcluded);
+        return anyRemaining ? notExcluded : target -> true;
     }
 
     /**
-     * Whether a free target would cost the others more than the request is worth there: in a full pool the time that it
-     * takes to read a prompt once more is taken from requests whose prompts are kept where they go.
+     * Whether the request would cost the others too much at a free target: in a full pool, the time to prefill a prompt
+     * again is taken from requests whose prompts are cached at their targets.
      */
-    private boolean isTooDear(Candidate free, Candidate best) {
+    private boolean isTooExpensive(Candidate free, Candidate best) {
         return policy.has(Mechanism.DEAR_TARGETS)
                 && free.chosen().target().load() > SPARE_LOAD
-                && free.workMs() - best.workMs() > DEAR_MS;
+                && free.workMs() - best.workMs() > MAX_EXTRA_COST_MS;
     }
 
-    /** The target to start a late request at now: only one that those in time do not need, and that keeps its prompt. */
+    /**
+     * The target at which to start a late request now: only one with spare capacity and with the prompt cached. Null if
+     * there is none.
+     */
     @Nullable
-    Chosen late(WaitingRequest request) {
+    Chosen chooseLate(WaitingRequest request) {
         if (!hasOpen()) {
             return null;
         }
-        Prospect prospect = prospect(request);
+        RequestContext context = context(request);
         Candidate best = null;
         Candidate bestSpare = null;
         for (TargetLoad target : candidates(request)) {
-            Candidate candidate = candidate(request, target, prospect);
+            Candidate candidate = candidate(request, target, context);
             boolean spare = candidate.waitMs() == 0 && target.load() <= SPARE_LOAD;
             best = best == null || candidate.workMs() < best.workMs() ? candidate : best;
             bestSpare = spare ? cheaper(bestSpare, candidate) : bestSpare;
         }
-        if (best == null || bestSpare == null || bestSpare.workMs() - best.workMs() > DEAR_MS) {
+        if (best == null || bestSpare == null || bestSpare.workMs() - best.workMs() > MAX_EXTRA_COST_MS) {
             return null;
         }
         return bestSpare.chosen();
@@ -265,99 +283,100 @@
         return pool.all().stream().filter(allowed(request)).toList();
     }
 
-    private Candidate candidate(WaitingRequest request, TargetLoad target, Prospect prospect) {
+    private Candidate candidate(WaitingRequest request, TargetLoad target, RequestContext context) {
         double waitMs = queueMs(target) + slotWaitMs(target, request.memoryTokens());
         if (request.prompt().isEmpty()) {
             double serviceMs = target.meanServiceMs(meanServiceMs, nowMs);
-            return new Candidate(Chosen.reading(target, 0), waitMs, serviceMs * (1 + target.load()));
+            return new Candidate(Chosen.withoutFetch(target, 0), waitMs, serviceMs * (1 + target.load()));
         }
-        Chosen chosen = chosen(request, target, prospect.sources());
-        double readingMs = chosen.readingTokens() * model.msPerToken();
-        double strangeMs = prospect.isStrange(target) ? HOME_SHARE * readingMs : 0;
-        double workMs = readingWeight() * readingMs + strangeMs + loadMs(target);
+        Chosen chosen = chosen(request, target, context.sources());
+        double prefillMs = chosen.prefillTokens() * model.msPerToken();
+        double awayFromHomeMs = context.isAwayFromHome(target) ? HOME_PREFERENCE * prefillMs : 0;
+        double workMs = prefillWeight() * prefillMs + awayFromHomeMs + loadMs(target);
         return new Candidate(chosen, waitMs, workMs);
     }
 
-    private double readingWeight() {
-        return policy.has(Mechanism.READING_WEIGHT) ? READING_WEIGHT : 1;
+    private double prefillWeight() {
+        return policy.has(Mechanism.READING_WEIGHT) ? PREFILL_WEIGHT : 1;
     }
 
     private static double loadMs(TargetLoad target) {
         return LOAD_MS * target.load();
     }
 
-    /** Until a target takes a request of no size. */
+    /** Time until the target can take a request, its size aside. */
     private double waitMs(TargetLoad target) {
         return queueMs(target) + slotWaitMs(target, 0);
     }
 
     private double queueMs(TargetLoad target) {
-        return Math.max(0, target.unreadTokens(nowMs, model) * model.msPerToken() - DEPTH_MS);
+        return Math.max(0, target.pendingPrefillTokens(nowMs, model) * model.msPerToken() - MIN_PREFILL_QUEUE_MS);
     }
 
     private double slotWaitMs(TargetLoad target, long memoryTokens) {
         return target.hasRoom(memoryTokens, ignoreHealth, nowMs) ? 0 : Math.max(1, target.slotWaitMs());
     }
 
-    private Prospect prospect(WaitingRequest request) {
+    private RequestContext context(WaitingRequest request) {
         boolean none = request.prompt().isEmpty() || !policy.has(Mechanism.FETCHING);
-        PromptSources sources = none ? PromptSources.NONE : PromptSources.of(request.prompt(), pool.holders(), nowMs);
-        return new Prospect(home(request.prompt()), sources);
+        PromptSources sources = none ? PromptSources.NONE : PromptSources.of(request.prompt(), pool.partIndex(), nowMs);
+        return new RequestContext(home(request.prompt()), sources);
     }
 
-    /** What the target would read of the prompt, and what it would fetch where that pays. */
+    /** Computes the tokens that the target would prefill, and those that it would fetch if that is cheaper. */
     private Chosen chosen(WaitingRequest request, TargetLoad target, PromptSources sources) {
         long uncachedTokens = target.uncachedTokens(request.prompt());
         PromptSources.Source source = sources.of(target, request.prompt());
         if (source == null) {
-            return Chosen.reading(target, uncachedTokens);
+            return Chosen.withoutFetch(target, uncachedTokens);
         }
         long fetchedTokens = source.tokens() - (request.promptTokens() - uncachedTokens);
-        double share = Math.max(FETCH_SHARE, target.settings().memory().fetchMsPerToken() / model.msPerToken());
-        double savedMs = (1 - share) * fetchedTokens * model.msPerToken();
-        if (savedMs < LEAST_SAVED_MS) {
-            return Chosen.reading(target, uncachedTokens);
+        double fetchShare =
+                Math.max(MIN_FETCH_COST_SHARE, target.settings().memory().fetchMsPerToken() / model.msPerToken());
+        double savedMs = (1 - fetchShare) * fetchedTokens * model.msPerToken();
+        if (savedMs < MIN_SAVED_MS) {
+            return Chosen.withoutFetch(target, uncachedTokens);
         }
-        long readingTokens = Math.round(uncachedTokens - (1 - share) * fetchedTokens);
+        long prefillTokens = Math.round(uncachedTokens - (1 - fetchShare) * fetchedTokens);
         TargetId from = source.target().settings().id();
-        return new Chosen(target, uncachedTokens, readingTokens, fetchedTokens, from);
+        return new Chosen(target, uncachedTokens, prefillTokens, fetchedTokens, from);
     }
 
-    /** The engine for a session that no engine keeps, null where one does. */
+    /** The home engine of a session that no engine has cached; null if one has. */
     private @Nullable TargetLoad home(List<PromptPart> prompt) {
         if (prompt.size() < 2 || !policy.has(Mechanism.SESSION_HOME)) {
             return null;
         }
         List<PromptPart> session = prompt.subList(0, prompt.size() - 1);
-        if (pool.holders().leastUncachedTokens(session) == 0) {
+        if (pool.partIndex().minUncachedTokens(session) == 0) {
             return null;
         }
         String key = Long.toString(session.get(session.size() - 1).id());
         TargetLoad home = null;
-        long most = Long.MIN_VALUE;
+        long maxWeight = Long.MIN_VALUE;
         for (TargetLoad target : pool.all()) {
             long weight = Rendezvous.weight(key, target.settings().id().name());
-            if (home == null || weight > most) {
+            if (home == null || weight > maxWeight) {
                 home = target;
-                most = weight;
+                maxWeight = weight;
             }
         }
         return home;
     }
 
     /**
-     * What is the same for all targets of one request.
+     * The values that are the same for all targets of one request.
      *
-     * @param home the engine for its session, null where one keeps it
+     * @param home the home engine of the session, null if an engine has it cached
      */
-    private record Prospect(@Nullable TargetLoad home, PromptSources sources) {
-        boolean isStrange(TargetLoad target) {
+    private record RequestContext(@Nullable TargetLoad home, PromptSources sources) {
+        boolean isAwayFromHome(TargetLoad target) {
             return home != null && home != target;
         }
     }
 
-    /** The best target found so far, and the best of those that are free. */
-    private static final class Best {
+    /** The cheapest candidate found so far, and the cheapest of those that are free. */
+    private static final class BestCandidates {
         private @Nullable Candidate best;
         private @Nullable Candidate bestFree;
 
@@ -366,8 +385,8 @@
             bestFree = candidate.waitMs() == 0 ? cheaper(bestFree, candidate) : bestFree;
         }
 
-        /** Whether a target of this cost would be better than one of the two. */
-        boolean mayBeBeaten(double costMs, boolean free) {
+        /** Whether a target with this cost would replace either candidate. */
+        boolean canBeBeaten(double costMs, boolean free) {
             return best == null || costMs < best.costMs() || (free && (bestFree == null || costMs < bestFree.costMs()));
         }
     }
@@ -377,28 +396,28 @@
     }
 
     /**
-     * A target for a request, and what it does before its first byte.
+     * A target for a request, with its work before the first byte.
      *
-     * @param uncachedTokens of the prompt, what the target does not keep
-     * @param readingTokens what that takes it, a fetched token counted as a part of one
-     * @param fetchFrom the target that keeps more of the prompt, null where nothing is fetched
+     * @param uncachedTokens prompt tokens that the target does not have cached
+     * @param prefillTokens the equivalent prefill work, a fetched token counted as a fraction of one
+     * @param fetchFrom the target that has more of the prompt cached, null if nothing is fetched
      */
     record Chosen(
             TargetLoad target,
             long uncachedTokens,
-            long readingTokens,
+            long prefillTokens,
             long fetchedTokens,
             @Nullable TargetId fetchFrom) {
-        static Chosen reading(TargetLoad target, long uncachedTokens) {
+        static Chosen withoutFetch(TargetLoad target, long uncachedTokens) {
             return new Chosen(target, uncachedTokens, uncachedTokens, 0, null);
         }
     }
 
     /**
-     * One target for one request.
+     * The cost of one target for one request.
      *
-     * @param waitMs until the target can take the request, 0 where it can now
-     * @param workMs what the request costs there from then on
+     * @param waitMs time until the target can take the request, 0 if it can now
+     * @param workMs cost of the request there after the wait
      */
     private record Candidate(Chosen chosen, double waitMs, double workMs) {
         double costMs() {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetLoad.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetLoad.java
@@ -5,40 +5,46 @@
 import org.marjoramswitch.kernel.model.PromptPart;
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
-/** What an arbiter has placed at one target and what it learnt of it. */
+/**
+ * Tracks the requests that an arbiter has placed at one target, its cached prompt parts and its observed service times.
+ */
 final class TargetLoad {
-    /** How much of the newest time counts in a mean of times. */
+    /** Weight of the newest value in an exponential moving average. */
     private static final double GAIN = 0.1;
-    /** A mean that is not renewed halves its distance to the hoped-for in this time, so that a slow target is tried again. */
-    private static final double FORGET_HALF_MS = 5_000;
     /**
-     * Of the pool's mean, what a target is hoped to need of which nothing was seen for long. With the pool's own mean a
-     * target that was slow once stayed the dearest for good where one request at a time is asked.
+     * Half-life of an observed mean, which decays towards the optimistic estimate so that a slow target is tried again.
      */
-    private static final double HOPE = 0.8;
-    /** Of an engine's memory; the rest is left to what the arbiter cannot see: other arbiters, longer answers. */
-    private static final double USABLE_MEMORY = 0.9;
+    private static final double HALF_LIFE_MS = 5_000;
+    /**
+     * Expected service time of a target without recent observations, relative to the pool's mean. With the mean itself,
+     * a target that was slow once would stay the most expensive one as long as requests arrive one at a time.
+     */
+    private static final double OPTIMISM = 0.8;
+    /**
+     * Share of an engine's memory; the rest is left for what the arbiter cannot see: other arbiters, longer responses.
+     */
+    private static final double USABLE_MEMORY_SHARE = 0.9;
 
     private final OutlierEjection health = OutlierEjection.create();
     private final PromptCache cache;
     private TargetSettings settings;
     private int inFlight;
-    private long unreadTokens;
-    private long readSinceMs;
+    private long pendingPrefillTokens;
+    private long prefillingSinceMs;
     private long runningTokens;
     private double serviceMs;
     private long servedAtMs;
-    private double endIntervalMs = FORGET_HALF_MS;
+    private double endIntervalMs = HALF_LIFE_MS;
     private long endedAtMs;
 
-    private TargetLoad(TargetSettings settings, PartHolders holders) {
+    private TargetLoad(TargetSettings settings, PromptPartIndex partIndex) {
         this.settings = settings;
-        this.cache = PromptCache.create(part -> holders.add(part, this), part -> holders.remove(part, this));
+        this.cache = PromptCache.create(part -> partIndex.add(part, this), part -> partIndex.remove(part, this));
     }
 
-    /** @param holders what the target keeps is entered there too */
-    static TargetLoad create(TargetSettings settings, PartHolders holders) {
-        return new TargetLoad(settings, holders);
+    /** @param partIndex is updated with the parts that the target has cached */
+    static TargetLoad create(TargetSettings settings, PromptPartIndex partIndex) {
+        return new TargetLoad(settings, partIndex);
     }
 
     TargetSettings settings() {
@@ -62,7 +68,7 @@
         return (double) inFlight / Math.max(1, settings.slots());
     }
 
-    /** Whether a request of this size may be given to the target now, its slots, memory and health considered. */
+    /** Whether the target can take a request of this size now, given its slots, memory and health. */
     boolean hasRoom(long tokens, boolean ignoreHealth, long nowMs) {
         int free = Math.max(0, settings.slots() - inFlight);
         int allowed = ignoreHealth ? free : health.allowed(free, inFlight, nowMs);
@@ -70,7 +76,7 @@
             return false;
         }
         long memoryTokens = settings.memory().tokens();
-        return memoryTokens == 0 || inFlight == 0 || runningTokens + tokens <= USABLE_MEMORY * memoryTokens;
+        return memoryTokens == 0 || inFlight == 0 || runningTokens + tokens <= USABLE_MEMORY_SHARE * memoryTokens;
     }
 
     boolean isEjected(long nowMs) {
@@ -82,52 +88,52 @@
     }
 
     /**
-     * The prompt tokens that the target has yet to read. Only first bytes tell that a prompt was read, so what was read
-     * of the one in turn since the last first byte is taken off by the learnt rate.
+     * The prompt tokens that the target has yet to prefill. Only first bytes show that a prefill has ended, so the
+     * progress since the last first byte is estimated from the learned rate.
      */
-    double unreadTokens(long nowMs, FirstByteModel model) {
-        double readTokens = (nowMs - readSinceMs) / model.msPerToken();
-        return Math.max(0, unreadTokens - Math.max(0, readTokens));
+    double pendingPrefillTokens(long nowMs, FirstByteModel model) {
+        double prefilledTokens = (nowMs - prefillingSinceMs) / model.msPerToken();
+        return Math.max(0, pendingPrefillTokens - Math.max(0, prefilledTokens));
     }
 
-    /** The tokens of the prompt that another target could fetch from here. */
-    long readTokens(List<PromptPart> prompt) {
-        return cache.readTokens(prompt);
+    /** The leading prompt tokens that another target could fetch from this one. */
+    long prefilledTokens(List<PromptPart> prompt) {
+        return cache.prefilledTokens(prompt);
     }
 
-    void started(List<PromptPart> prompt, long readingTokens, long memoryNeeded, long nowMs) {
-        held(readingTokens, memoryNeeded, false, nowMs);
-        cache.sent(prompt, settings.memory().tokens());
+    void started(List<PromptPart> prompt, long prefillTokens, long memoryNeeded, long nowMs) {
+        takeOver(prefillTokens, memoryNeeded, false, nowMs);
+        cache.dispatched(prompt, settings.memory().tokens());
     }
 
-    /** Takes over a request that another arbiter placed here. */
-    void held(long readingTokens, long memoryNeeded, boolean answering, long nowMs) {
+    /** Adds a request that another arbiter placed here. */
+    void takeOver(long prefillTokens, long memoryNeeded, boolean answering, long nowMs) {
         inFlight++;
         runningTokens += memoryNeeded;
         if (answering) {
             return;
         }
-        if (unreadTokens == 0) {
-            readSinceMs = nowMs;
+        if (pendingPrefillTokens == 0) {
+            prefillingSinceMs = nowMs;
         }
-        unreadTokens += readingTokens;
+        pendingPrefillTokens += prefillTokens;
     }
 
-    /** The prompt of a request was read. */
-    void read(List<PromptPart> prompt, long readingTokens, long nowMs) {
-        cache.read(prompt, settings.memory().tokens());
-        readingOver(readingTokens, nowMs);
+    /** Records that the prompt of a request was prefilled. */
+    void prefilled(List<PromptPart> prompt, long prefillTokens, long nowMs) {
+        cache.prefilled(prompt, settings.memory().tokens());
+        prefillEnded(prefillTokens, nowMs);
     }
 
-    /** A request ended before its prompt was read. */
-    void notRead(List<PromptPart> prompt, long readingTokens, long nowMs) {
-        cache.notRead(prompt);
-        readingOver(readingTokens, nowMs);
+    /** Records that a request ended before its prompt was prefilled. */
+    void notPrefilled(List<PromptPart> prompt, long prefillTokens, long nowMs) {
+        cache.notPrefilled(prompt);
+        prefillEnded(prefillTokens, nowMs);
     }
 
-    private void readingOver(long readingTokens, long nowMs) {
-        unreadTokens = Math.max(0, unreadTokens - readingTokens);
-        readSinceMs = nowMs;
+    private void prefillEnded(long prefillTokens, long nowMs) {
+        pendingPrefillTokens = Math.max(0, pendingPrefillTokens - prefillTokens);
+        prefillingSinceMs = nowMs;
     }
 
     void ended(long memoryNeeded, long nowMs) {
@@ -139,30 +145,30 @@
         endedAtMs = nowMs;
     }
 
-    /** The target is gone: nothing of what it kept can be found. */
-    void gone() {
+    /** Clears the cache of a target that is gone, so that nothing is fetched from it. */
+    void clearCache() {
         cache.clear();
     }
 
-    /** How long a full target probably takes to free a slot. */
+    /** The expected time until a full target frees a slot. */
     double slotWaitMs() {
         return endIntervalMs;
     }
 
-    /** A request was served in this time. */
-    void served(long tookMs, double poolMeanMs, long nowMs) {
-        double known = meanServiceMs(poolMeanMs, nowMs);
-        serviceMs = known + GAIN * (tookMs - known);
+    /** Records the service time of a request. */
+    void served(long elapsedMs, double poolMeanMs, long nowMs) {
+        double knownMs = meanServiceMs(poolMeanMs, nowMs);
+        serviceMs = knownMs + GAIN * (elapsedMs - knownMs);
         servedAtMs = nowMs;
     }
 
-    /** The mean time of a request here; the pool's where the target has none of its own that is fresh. */
+    /** The mean service time here; the pool's mean if none was observed; an old value decays. */
     double meanServiceMs(double poolMeanMs, long nowMs) {
         if (servedAtMs == 0) {
             return poolMeanMs;
         }
-        double fresh = Math.pow(0.5, (nowMs - servedAtMs) / FORGET_HALF_MS);
-        double hopedMs = HOPE * poolMeanMs;
-        return hopedMs + fresh * (serviceMs - hopedMs);
+        double freshness = Math.pow(0.5, (nowMs - servedAtMs) / HALF_LIFE_MS);
+        double optimisticMs = OPTIMISM * poolMeanMs;
+        return optimisticMs + freshness * (serviceMs - optimisticMs);
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetOrder.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetOrder.java
@@ -8,16 +8,16 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The targets of a cell, in the order of what a request costs there whatever its prompt: the wait for its turn and for a slot,
- * and the target's load.
+ * Keeps the targets of a cell sorted by the part of a request's cost that does not depend on its prompt: the wait for
+ * the queue and for a slot, and the target's load.
  *
- * <p>Cost: an update of all sorts a list that was sorted a few milliseconds before and is nearly so still, which takes about
- * as many steps as there are targets; a change of one target moves one place in the list.
+ * <p>Cost: a full update sorts a list that was sorted a few milliseconds earlier and is still nearly sorted, which
+ * takes close to linear time. An update of one target moves one element.
  */
 final class TargetOrder {
-    private static final Comparator<Standing> CHEAPEST_FIRST = Comparator.comparingDouble(Standing::costMs);
+    private static final Comparator<RankedTarget> CHEAPEST_FIRST = Comparator.comparingDouble(RankedTarget::costMs);
 
-    private final List<Standing> standings = new ArrayList<>();
+    private final List<RankedTarget> ranking = new ArrayList<>();
     private int open;
 
     private TargetOrder() {}
@@ -26,58 +26,58 @@
         return new TargetOrder();
     }
 
-    /** Sets the targets; the order holds from the next {@link #update} on. */
+    /** Sets the targets; the order is valid after the next {@link #update}. */
     void targets(Collection<TargetLoad> targets) {
-        standings.clear();
-        targets.forEach(target -> standings.add(new Standing(target)));
+        ranking.clear();
+        targets.forEach(target -> ranking.add(new RankedTarget(target)));
         open = 0;
     }
 
     /**
-     * Puts all targets in order.
+     * Recomputes all costs and sorts the targets.
      *
-     * @param waitMs until a target takes a request of no size, 0 where it does now
-     * @param loadMs what a target's load costs a request
+     * @param waitMs time until a target can take a request, its size aside; 0 if it can now
+     * @param loadMs cost of a target's load for a request
      */
     void update(ToDoubleFunction<TargetLoad> waitMs, ToDoubleFunction<TargetLoad> loadMs) {
         open = 0;
-        for (Standing standing : standings) {
-            standing.update(waitMs, loadMs);
-            open += standing.isOpen() ? 1 : 0;
+        for (RankedTarget ranked : ranking) {
+            ranked.update(waitMs, loadMs);
+            open += ranked.isOpen() ? 1 : 0;
         }
-        standings.sort(CHEAPEST_FIRST);
+        ranking.sort(CHEAPEST_FIRST);
     }
 
-    /** As {@link #update}, for the one target that has changed. */
+    /** Same as {@link #update} for one changed target. */
     void update(TargetLoad changed, ToDoubleFunction<TargetLoad> waitMs, ToDoubleFunction<TargetLoad> loadMs) {
-        for (Standing standing : standings) {
-            if (standing.target() == changed) {
-                open -= standing.isOpen() ? 1 : 0;
-                standing.update(waitMs, loadMs);
-                open += standing.isOpen() ? 1 : 0;
-                standings.sort(CHEAPEST_FIRST);
+        for (RankedTarget ranked : ranking) {
+            if (ranked.target() == changed) {
+                open -= ranked.isOpen() ? 1 : 0;
+                ranked.update(waitMs, loadMs);
+                open += ranked.isOpen() ? 1 : 0;
+                ranking.sort(CHEAPEST_FIRST);
                 return;
             }
         }
     }
 
-    /** Whether any target takes a request now. */
+    /** Whether any target can take a request now. */
     boolean hasOpen() {
         return open > 0;
     }
 
-    /** The cheapest first. */
-    List<Standing> standings() {
-        return Collections.unmodifiableList(standings);
+    /** The targets, cheapest first. */
+    List<RankedTarget> ranking() {
+        return Collections.unmodifiableList(ranking);
     }
 
-    /** One target's place in the order. */
-    static final class Standing {
+    /** A target with its cost. */
+    static final class RankedTarget {
         private final TargetLoad target;
         private double waitMs;
         private double loadMs;
 
-        private Standing(TargetLoad target) {
+        private RankedTarget(TargetLoad target) {
             this.target = target;
         }
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetPool.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetPool.java
@@ -10,10 +10,13 @@
 import org.marjoramswitch.kernel.model.TargetId;
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
-/** The targets of one cell that may be given work, what each keeps, and their order by cost. */
+/**
+ * The targets of one cell that may receive requests, with an index of their cached prompt parts and their order by
+ * cost.
+ */
 final class TargetPool {
     private final Map<TargetId, TargetLoad> byId = new TreeMap<>();
-    private final PartHolders holders = new PartHolders();
+    private final PromptPartIndex partIndex = new PromptPartIndex();
     private final TargetOrder order = TargetOrder.create();
     private int slots;
 
@@ -24,26 +27,26 @@
     }
 
     /**
-     * Sets the targets; those that stay keep what is known of them. Of one that has started again nothing holds any more: what
-     * it kept, what ran there, how fast it was and how often it failed. Counted on, its slots would look taken by requests
-     * that are gone, and prompts would be sent for parts that it has lost.
+     * Sets the targets and keeps the state of those that remain. The state of a restarted target is discarded: its
+     * cache, running requests, service times and failures. Otherwise its slots would seem occupied by requests that no
+     * longer exist, and prompts would be sent there for parts that it has lost.
      */
     void targets(Collection<TargetSettings> settings, Set<TargetId> leaving) {
-        Set<TargetId> named = new TreeSet<>();
+        Set<TargetId> ids = new TreeSet<>();
         for (TargetSettings target : settings) {
             if (!leaving.contains(target.id())) {
-                named.add(target.id());
-                dropIfStartedAgain(target);
-                byId.computeIfAbsent(target.id(), missing -> TargetLoad.create(target, holders))
+                ids.add(target.id());
+                dropIfRestarted(target);
+                byId.computeIfAbsent(target.id(), missing -> TargetLoad.create(target, partIndex))
                         .settings(target);
             }
         }
         byId.entrySet().removeIf(known -> {
-            boolean gone = !named.contains(known.getKey());
-            if (gone) {
-                known.getValue().gone();
+            boolean removed = !ids.contains(known.getKey());
+            if (removed) {
+                known.getValue().clearCache();
             }
-            return gone;
+            return removed;
         });
         slots = byId.values().stream()
                 .mapToInt(target -> target.settings().slots())
@@ -51,22 +54,22 @@
         order.targets(byId.values());
     }
 
-    private void dropIfStartedAgain(TargetSettings target) {
+    private void dropIfRestarted(TargetSettings target) {
         TargetLoad known = byId.get(target.id());
         if (known != null && known.settings().startedAtMs() != target.startedAtMs()) {
-            known.gone();
+            known.clearCache();
             byId.remove(target.id());
         }
     }
 
-    /** The target, null where it is gone or has started again since {@code startedAtMs}. */
+    /** The target; null if it is gone or has restarted since {@code startedAtMs}. */
     @Nullable
     TargetLoad get(TargetId id, long startedAtMs) {
         TargetLoad known = byId.get(id);
         return known == null || known.settings().startedAtMs() != startedAtMs ? null : known;
     }
 
-    /** The target as it is now, null where it is gone. */
+    /** The target in its current state; null if it is gone. */
     @Nullable
     TargetLoad get(TargetId id) {
         return byId.get(id);
@@ -80,13 +83,13 @@
         return byId.size();
     }
 
-    /** The slots of all targets together. */
+    /** The total slots of all targets. */
     int slots() {
         return slots;
     }
 
-    PartHolders holders() {
-        return holders;
+    PromptPartIndex partIndex() {
+        return partIndex;
     }
 
     TargetOrder order() {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/WaitingQueues.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/WaitingQueues.java
@@ -11,56 +11,57 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * The requests that wait at an arbiter: those that can still be in time by customer, those that are late by the time
- * until which they are held.
+ * The requests that wait at an arbiter: those that can still meet their objective by customer, late ones by the end of
+ * their hold.
  */
 final class WaitingQueues {
-    private final Map<InstanceId, Map<Long, Held>> byEntry = new HashMap<>();
+    private final Map<InstanceId, Map<Long, Queued>> byEntry = new HashMap<>();
     private final Map<CustomerId, CustomerBacklog> inTime = new HashMap<>();
-    private final NavigableMap<Moment, WaitingRequest> lateAt = new TreeMap<>();
-    private final NavigableMap<Moment, WaitingRequest> late = new TreeMap<>();
+    private final NavigableMap<Deadline, WaitingRequest> inTimeByDeadline = new TreeMap<>();
+    private final NavigableMap<Deadline, WaitingRequest> lateByHoldEnd = new TreeMap<>();
 
-    /** A request that can be in time; at {@code lateAtMs} it is so no longer. */
+    /** Adds a request that can meet its objective if it is started before {@code lateAtMs}. */
     void addInTime(WaitingRequest request, long lateAtMs) {
-        Moment moment = new Moment(lateAtMs, request.arrival());
-        ofEntry(request.entry()).put(request.ask(), new Held(request, moment, false));
+        Deadline deadline = new Deadline(lateAtMs, request.arrival());
+        queuedOf(request.entry()).put(request.placementId(), new Queued(request, deadline, false));
         inTime.computeIfAbsent(request.customer(), missing -> new CustomerBacklog())
                 .add(request);
-        lateAt.put(moment, request);
+        inTimeByDeadline.put(deadline, request);
     }
 
-    /** A request that is late whatever is done, to be held until then. */
+    /** Adds a request that can no longer meet its objective and is held until {@code heldUntilMs}. */
     void addLate(WaitingRequest request, long heldUntilMs) {
-        Moment moment = new Moment(heldUntilMs, request.arrival());
-        ofEntry(request.entry()).put(request.ask(), new Held(request, moment, true));
-        late.put(moment, request);
+        Deadline deadline = new Deadline(heldUntilMs, request.arrival());
+        queuedOf(request.entry()).put(request.placementId(), new Queued(request, deadline, true));
+        lateByHoldEnd.put(deadline, request);
     }
 
     @Nullable
-    WaitingRequest remove(InstanceId entry, long ask) {
-        Held held = byEntry.getOrDefault(entry, Map.of()).get(ask);
-        if (held == null) {
+    WaitingRequest remove(InstanceId entry, long placementId) {
+        Queued queued = byEntry.getOrDefault(entry, Map.of()).get(placementId);
+        if (queued == null) {
             return null;
         }
-        ofEntry(entry).remove(ask);
-        if (held.late()) {
-            late.remove(held.moment());
-            return held.request();
+        queuedOf(entry).remove(placementId);
+        if (queued.late()) {
+            lateByHoldEnd.remove(queued.deadline());
+            return queued.request();
         }
-        lateAt.remove(held.moment());
-        CustomerBacklog backlog = of(held.request().customer());
-        backlog.remove(held.request());
+        inTimeByDeadline.remove(queued.deadline());
+        CustomerBacklog backlog = of(queued.request().customer());
+        backlog.remove(queued.request());
         if (backlog.size() == 0) {
-            inTime.remove(held.request().customer());
+            inTime.remove(queued.request().customer());
         }
-        return held.request();
+        return queued.request();
     }
 
-    /** The entry is gone; returns what waited for it. */
+    /** Removes and returns all requests of an entry instance. */
     List<WaitingRequest> removeAll(InstanceId entry) {
         List<WaitingRequest> removed = new ArrayList<>();
-        for (long ask : List.copyOf(byEntry.getOrDefault(entry, Map.of()).keySet())) {
-            WaitingRequest request = remove(entry, ask);
+        for (long placementId :
+                List.copyOf(byEntry.getOrDefault(entry, Map.of()).keySet())) {
+            WaitingRequest request = remove(entry, placementId);
             if (request != null) {
                 removed.add(request);
             }
@@ -69,60 +70,60 @@
         return removed;
     }
 
-    /** The customer's requests that can be in time. */
+    /** The customer's requests that can still meet their objective. */
     CustomerBacklog of(CustomerId customer) {
         return inTime.getOrDefault(customer, CustomerBacklog.EMPTY);
     }
 
-    /** The next request that has become late, null where there is none. */
+    /** The next request that has become late, null if there is none. */
     @Nullable
     WaitingRequest nextLate(long nowMs) {
-        return due(lateAt, nowMs);
+        return due(inTimeByDeadline, nowMs);
     }
 
-    /** The next late request that is not to be held any longer. */
+    /** The next late request whose hold has expired, null if there is none. */
     @Nullable
-    WaitingRequest nextOver(long nowMs) {
-        return due(late, nowMs);
+    WaitingRequest nextHoldExpired(long nowMs) {
+        return due(lateByHoldEnd, nowMs);
     }
 
-    /** Whether this request waits and can still be in time. */
+    /** Whether this request is waiting and can still meet its objective. */
     boolean isInTime(WaitingRequest request) {
-        Held held = byEntry.getOrDefault(request.entry(), Map.of()).get(request.ask());
-        return held != null && !held.late() && held.request().arrival() == request.arrival();
+        Queued queued = byEntry.getOrDefault(request.entry(), Map.of()).get(request.placementId());
+        return queued != null && !queued.late() && queued.request().arrival() == request.arrival();
     }
 
-    /** The late requests that are to be given up soonest, so many at most. */
-    List<WaitingRequest> firstLate(int most) {
-        return late.values().stream().limit(most).toList();
+    /** The late requests whose hold expires first, at most {@code maxCount}. */
+    List<WaitingRequest> firstLate(int maxCount) {
+        return lateByHoldEnd.values().stream().limit(maxCount).toList();
     }
 
     int lateCount() {
-        return late.size();
+        return lateByHoldEnd.size();
     }
 
     int inTimeCount() {
-        return lateAt.size();
+        return inTimeByDeadline.size();
     }
 
     boolean isEmpty() {
-        return late.isEmpty() && lateAt.isEmpty();
+        return lateByHoldEnd.isEmpty() && inTimeByDeadline.isEmpty();
     }
 
-    private static @Nullable WaitingRequest due(NavigableMap<Moment, WaitingRequest> moments, long nowMs) {
-        Map.Entry<Moment, WaitingRequest> first = moments.firstEntry();
+    private static @Nullable WaitingRequest due(NavigableMap<Deadline, WaitingRequest> byDeadline, long nowMs) {
+        Map.Entry<Deadline, WaitingRequest> first = byDeadline.firstEntry();
         return first == null || first.getKey().atMs() > nowMs ? null : first.getValue();
     }
 
-    private Map<Long, Held> ofEntry(InstanceId entry) {
+    private Map<Long, Queued> queuedOf(InstanceId entry) {
         return byEntry.computeIfAbsent(entry, missing -> new HashMap<>());
     }
 
-    private record Held(WaitingRequest request, Moment moment, boolean late) {}
+    private record Queued(WaitingRequest request, Deadline deadline, boolean late) {}
 
-    private record Moment(long atMs, long arrival) implements Comparable<Moment> {
+    private record Deadline(long atMs, long arrival) implements Comparable<Deadline> {
         @Override
-        public int compareTo(Moment other) {
+        public int compareTo(Deadline other) {
             int byTime = Long.compare(atMs, other.atMs);
             return byTime != 0 ? byTime : Long.compare(arrival, other.arrival);
         }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/WaitingRequest.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/WaitingRequest.java
@@ -11,16 +11,16 @@
 /**
  * A request that waits at an arbiter.
  *
- * @param ask the entry's name for it
- * @param arrival its place in the order of arrival
+ * @param placementId id chosen by the entry instance
+ * @param arrival position in the order of arrival
  * @param objectiveAtMs when its first byte is late
- * @param endAtMs when its entry refuses it by itself
- * @param size what its prompt leaves of its objective
- * @param readingTokens what the engine that keeps most of its prompt would have to read
+ * @param endAtMs when its entry instance rejects it on its own
+ * @param size class by the part of the objective that remains after its prefill
+ * @param prefillTokens tokens that the engine with most of the prompt cached would have to prefill
  */
 record WaitingRequest(
         InstanceId entry,
-        long ask,
+        long placementId,
         long arrival,
         CustomerId customer,
         int urgency,
@@ -32,33 +32,36 @@
         long endAtMs,
         Set<TargetId> excluded,
         SizeClass size,
-        long readingTokens) {
-    /** A generated token takes an engine about twice the time of a read one; customers are charged by the same measure. */
+        long prefillTokens) {
+    /**
+     * Generating a token takes an engine about twice as long as prefilling one; customers are charged in the same
+     * ratio.
+     */
     private static final long OUTPUT_TOKEN_COST = 2;
 
-    /** A question as it came; its size is not assessed yet. */
-    static WaitingRequest of(InstanceId entry, PeerMessage.Place asked, long arrival, long nowMs) {
+    /** Creates a request from its message; {@link #assessed} sets its size. */
+    static WaitingRequest of(InstanceId entry, PeerMessage.Place message, long arrival, long nowMs) {
         return new WaitingRequest(
                 entry,
-                asked.ask(),
+                message.ask(),
                 arrival,
-                asked.customer(),
-                asked.urgency(),
-                asked.parts(),
-                asked.parts().stream().mapToLong(PromptPart::tokens).sum(),
-                asked.outputTokens(),
+                message.customer(),
+                message.urgency(),
+                message.parts(),
+                message.parts().stream().mapToLong(PromptPart::tokens).sum(),
+                message.outputTokens(),
                 nowMs,
-                nowMs + asked.objectiveLeftMs(),
-                nowMs + asked.waitLeftMs(),
-                Set.copyOf(asked.excluded()),
+                nowMs + message.objectiveLeftMs(),
+                nowMs + message.waitLeftMs(),
+                Set.copyOf(message.excluded()),
                 SizeClass.NOT_COUNTED,
                 0);
     }
 
-    WaitingRequest assessed(SizeClass newSize, long newReadingTokens) {
+    WaitingRequest assessed(SizeClass newSize, long newPrefillTokens) {
         return new WaitingRequest(
                 entry,
-                ask,
+                placementId,
                 arrival,
                 customer,
                 urgency,
@@ -70,15 +73,15 @@
                 endAtMs,
                 excluded,
                 newSize,
-                newReadingTokens);
+                newPrefillTokens);
     }
 
-    /** What its customer is charged. */
+    /** Tokens that the customer is charged. */
     long costTokens() {
         return cost(promptTokens, outputTokens);
     }
 
-    /** The memory that it takes at an engine. */
+    /** Tokens of engine memory that the request occupies. */
     long memoryTokens() {
         return promptTokens + outputTokens;
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/package-info.java
@@ -1,4 +1,7 @@
-/** Which request goes to which target and when: one arbiter for each cell that sees every request of the cell. */
+/**
+ * Placement of requests: one arbiter per cell receives all requests of the cell and decides their targets and start
+ * times.
+ */
 @NullMarked
 package org.marjoramswitch.kernel.placement;
 
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/FetchingTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/FetchingTest.java
@@ -108,13 +108,13 @@
     @Test
     void theNearerOfTwoSourcesIsTaken() {
         List<PromptPart> prompt = List.of(PromptPart.of(1, SESSION_TOKENS), PromptPart.of(9, 40));
-        PartHolders holders = new PartHolders();
+        PromptPartIndex partIndex = new PromptPartIndex();
         List<TargetLoad> engines = settings(FETCHING, "dc-1", "dc-2", "dc-1", "dc-2").stream()
-                .map(settings -> TargetLoad.create(settings, holders))
+                .map(settings -> TargetLoad.create(settings, partIndex))
                 .toList();
-        engines.get(0).read(prompt, 0, nowMs);
-        engines.get(1).read(prompt, 0, nowMs);
-        PromptSources sources = PromptSources.of(prompt, holders, nowMs);
+        engines.get(0).prefilled(prompt, 0, nowMs);
+        engines.get(1).prefilled(prompt, 0, nowMs);
+        PromptSources sources = PromptSources.of(prompt, partIndex, nowMs);
         assertEquals(engines.get(0), source(sources, engines.get(2), prompt));
         assertEquals(engines.get(1), source(sources, engines.get(3), prompt));
     }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/PromptCacheTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/PromptCacheTest.java
@@ -17,33 +17,33 @@
 
     @Test
     void aPromptThatWasSentNeedsNoSecondReading() {
-        cache.sent(PROMPT, MEMORY_TOKENS);
+        cache.dispatched(PROMPT, MEMORY_TOKENS);
         assertEquals(0, cache.uncachedTokens(PROMPT));
         assertEquals(400, cache.uncachedTokens(List.of(SHARED, OTHER)));
     }
 
     @Test
     void aPartCountsOnlyBehindPartsThatAreKept() {
-        cache.sent(List.of(SESSION), MEMORY_TOKENS);
+        cache.dispatched(List.of(SESSION), MEMORY_TOKENS);
         assertEquals(500, cache.uncachedTokens(PROMPT));
     }
 
     /** Another engine that came for a part before it was read would find nothing and read all of it. */
     @Test
     void othersFindOnlyWhatWasRead() {
-        cache.sent(PROMPT, MEMORY_TOKENS);
-        assertEquals(0, cache.readTokens(PROMPT));
-        cache.read(List.of(SHARED), MEMORY_TOKENS);
-        assertEquals(300, cache.readTokens(PROMPT));
-        cache.sent(PROMPT, MEMORY_TOKENS);
-        assertEquals(300, cache.readTokens(PROMPT));
+        cache.dispatched(PROMPT, MEMORY_TOKENS);
+        assertEquals(0, cache.prefilledTokens(PROMPT));
+        cache.prefilled(List.of(SHARED), MEMORY_TOKENS);
+        assertEquals(300, cache.prefilledTokens(PROMPT));
+        cache.dispatched(PROMPT, MEMORY_TOKENS);
+        assertEquals(300, cache.prefilledTokens(PROMPT));
     }
 
     @Test
     void whatARefusedRequestBroughtIsNotThere() {
-        cache.read(List.of(SHARED), MEMORY_TOKENS);
-        cache.sent(PROMPT, MEMORY_TOKENS);
-        cache.notRead(PROMPT);
+        cache.prefilled(List.of(SHARED), MEMORY_TOKENS);
+        cache.dispatched(PROMPT, MEMORY_TOKENS);
+        cache.notPrefilled(PROMPT);
         assertEquals(200, cache.uncachedTokens(PROMPT));
     }
 
@@ -53,11 +53,11 @@
      */
     @Test
     void lookingUpIsNoUse() {
-        cache.read(List.of(SHARED), MEMORY_TOKENS);
-        cache.read(List.of(OTHER), MEMORY_TOKENS);
-        cache.readTokens(List.of(SHARED));
+        cache.prefilled(List.of(SHARED), MEMORY_TOKENS);
+        cache.prefilled(List.of(OTHER), MEMORY_TOKENS);
+        cache.prefilledTokens(List.of(SHARED));
         cache.uncachedTokens(List.of(SHARED));
-        cache.read(List.of(PromptPart.of(4, 350)), MEMORY_TOKENS);
+        cache.prefilled(List.of(PromptPart.of(4, 350)), MEMORY_TOKENS);
         assertEquals(300, cache.uncachedTokens(List.of(SHARED)));
         assertEquals(0, cache.uncachedTokens(List.of(OTHER)));
     }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/SimulatedEngine.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/SimulatedEngine.java
@@ -26,7 +26,7 @@
     private final Deque<Generation> reading = new ArrayDeque<>();
     private final List<Generation> running = new ArrayList<>();
     private final Map<Long, Integer> kept = new LinkedHashMap<>(16, 0.75f, true);
-    private long keptTokens;
+    private long cachedTokens;
     private double stepEndsMs;
     private boolean stepping;
     private long chunkTokens;
@@ -126,14 +126,14 @@
                 rereadTokens += part.tokens();
             }
             Integer before = kept.put(part.id(), part.tokens());
-            keptTokens += part.tokens() - (before == null ? 0 : before);
+            cachedTokens += part.tokens() - (before == null ? 0 : before);
         }
         generation.unreadTokens = Math.max(1, unread);
         readTokens += unread;
         reading.add(generation);
         Iterator<Integer> eldest = kept.values().iterator();
-        while (keptTokens > speed.memory().tokens()) {
-            keptTokens -= eldest.next();
+        while (cachedTokens > speed.memory().tokens()) {
+            cachedTokens -= eldest.next();
             eldest.remove();
         }
     }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/TargetChoiceTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/TargetChoiceTest.java
@@ -46,11 +46,11 @@
         int placed = 0;
         for (int i = 0; i < REQUESTS; i++) {
             WaitingRequest request = request(i, prompt(random, i), excluded(random));
-            TargetChoice.Chosen expected = choice.inTimeOfAll(request);
-            assertEquals(expected, choice.inTime(request), "request " + i);
+            TargetChoice.Chosen expected = choice.chooseInTimeExhaustively(request);
+            assertEquals(expected, choice.chooseInTime(request), "request " + i);
             if (expected != null && placed < ENGINES) {
                 placed++;
-                expected.target().started(request.prompt(), expected.readingTokens(), request.memoryTokens(), NOW_MS);
+                expected.target().started(request.prompt(), expected.prefillTokens(), request.memoryTokens(), NOW_MS);
                 choice.started(expected.target());
             }
         }
@@ -64,7 +64,7 @@
         TargetChoice choice = TargetChoice.at(PlacementPolicy.full(), model, 50, pool, NOW_MS);
         Set<TargetId> all = new HashSet<>();
         pool.all().forEach(target -> all.add(target.settings().id()));
-        assertNotNull(choice.inTime(request(1, List.of(PromptPart.of(1, 500), PromptPart.of(99, 500)), all)));
+        assertNotNull(choice.chooseInTime(request(1, List.of(PromptPart.of(1, 500), PromptPart.of(99, 500)), all)));
     }
 
     /** Where no target has room nothing is looked for, and the first one that gains room ends that. */
@@ -72,13 +72,13 @@
     void aPoolWithoutRoomIsFullUntilATargetGainsRoom() {
         pool.targets(List.of(settings(1, 1, EngineMemory.of(MEMORY_TOKENS))), Set.of());
         TargetLoad only = pool.all().iterator().next();
-        only.held(0, 100, true, NOW_MS);
+        only.takeOver(0, 100, true, NOW_MS);
         WaitingRequest request = request(1, List.of(PromptPart.of(1, 500)), Set.of());
         TargetChoice full = TargetChoice.at(PlacementPolicy.full(), model, 50, pool, NOW_MS);
-        assertNull(full.inTime(request));
+        assertNull(full.chooseInTime(request));
         only.ended(100, NOW_MS);
         assertNotNull(
-                TargetChoice.at(PlacementPolicy.full(), model, 50, pool, NOW_MS).inTime(request));
+                TargetChoice.at(PlacementPolicy.full(), model, 50, pool, NOW_MS).chooseInTime(request));
     }
 
     /** Engines of uneven sizes, so that no two cost the same, some of them full, far behind or failing. */
@@ -92,12 +92,13 @@
             int running = 1 + random.nextInt(engine.settings().slots());
             for (int i = 0; i < running; i++) {
                 boolean answering = random.nextInt(20) > 0;
-                engine.held(random.nextInt(3_000), 400 + random.nextInt(900), answering, NOW_MS - random.nextInt(30));
+                engine.takeOver(
+                        random.nextInt(3_000), 400 + random.nextInt(900), answering, NOW_MS - random.nextInt(30));
             }
             for (int i = 0; i < 6; i++) {
                 List<PromptPart> prompt = prompt(random, 1_000 + i);
                 if (random.nextBoolean()) {
-                    engine.read(prompt, 0, NOW_MS - 1);
+                    engine.prefilled(prompt, 0, NOW_MS - 1);
                 } else {
                     engine.started(prompt, 100, 700, NOW_MS - 1);
                 }
