--- a/kernel/src/main/java/org/marjoramswitch/kernel/InstanceKernel.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/InstanceKernel.java
@@ -166,7 +166,7 @@
     private void grantFree(CellId cell, long nowMs, ActionSink sink) {
         Arbiter arbiter = arbiters.get(cell);
         if (arbiter != null) {
-            arbiter.grantFree(nowMs, sink);
+            arbiter.grantFreeSlots(nowMs, sink);
         }
     }
 
@@ -286,8 +286,10 @@
         entry.heard(from, nowMs, sink);
         entryWatch.heard(from, nowMs);
         for (Arbiter arbiter : arbiters.values()) {
-            arbiter.heard(from);
-            boolean back = arbiter.knows(from) && !arbiter.serves(from) && !(message instanceof PeerMessage.Register);
+            arbiter.messageReceived(from);
+            boolean back = arbiter.isRegistered(from)
+                    && !arbiter.isConnected(from)
+                    && !(message instanceof PeerMessage.Register);
             if (back) {
                 sink.accept(new Action.SendPeer(from, new PeerMessage.Unregister(arbiter.cell())));
                 arbiter.reconnected(from);
@@ -301,7 +303,7 @@
      */
     private void watchEntries(long nowMs, ActionSink sink) {
         Set<InstanceId> awaited = new TreeSet<>();
-        arbiters.values().forEach(arbiter -> awaited.addAll(arbiter.awaited()));
+        arbiters.values().forEach(arbiter -> awaited.addAll(arbiter.entriesToProbe()));
         awaited.remove(self.id());
         for (InstanceId silent :
                 entryWatch.silent(awaited, nowMs, peer -> entry.registrations().probe(peer, sink))) {
@@ -312,7 +314,7 @@
 
     private void demanded(InstanceId from, PeerMessage.Demand demand, ActionSink sink) {
         Arbiter arbiter = arbiters.get(demand.cell());
-        if (arbiter == null || !arbiter.serves(from)) {
+        if (arbiter == null || !arbiter.isConnected(from)) {
             // The entry was taken for dead here, or this instance restarted: it would wait for grants for good.
             sink.accept(new Action.SendPeer(from, new PeerMessage.Unregister(demand.cell())));
             return;
@@ -393,7 +395,7 @@
      * it is told; a dead one does not hear it.
      */
     private void dropEntry(Arbiter arbiter, InstanceId gone, ActionSink sink) {
-        if (arbiter.knows(gone)) {
+        if (arbiter.isRegistered(gone)) {
             arbiter.unregister(gone);
             sink.accept(new Action.SendPeer(gone, new PeerMessage.Unregister(arbiter.cell())));
             touched.add(arbiter.cell());
@@ -473,7 +475,7 @@
     private void tick(long nowMs, ActionSink sink) {
         entry.tick(nowMs, sink);
         watchEntries(nowMs, sink);
-        arbiters.values().removeIf(arbiter -> !arbiter.inUse());
+        arbiters.values().removeIf(arbiter -> !arbiter.hasEntries());
         touched.addAll(arbiters.keySet());
         touched.addAll(placements.cells());
         arbiters.values().forEach(arbiter -> tellCharges(arbiter, nowMs, sink));
@@ -485,7 +487,7 @@
 
     private void tellCharges(Arbiter arbiter, long nowMs, ActionSink sink) {
         List<CellId> cells = plan.cells().cells(arbiter.cell().pool());
-        PeerMessage.Charges charges = cells.size() < 2 ? null : arbiter.chargesToTell(nowMs);
+        PeerMessage.Charges charges = cells.size() < 2 ? null : arbiter.chargesToSend(nowMs);
         if (charges == null) {
             return;
         }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/Arbiter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/Arbiter.java
@@ -15,7 +15,7 @@
 import org.marjoramswitch.kernel.action.ActionSink;
 import org.marjoramswitch.kernel.action.Decision;
 import org.marjoramswitch.kernel.capacity.TargetSlots;
-import org.marjoramswitch.kernel.fair.FairAccount;
+import org.marjoramswitch.kernel.fair.CustomerAccount;
 import org.marjoramswitch.kernel.fair.FairShares;
 import org.marjoramswitch.kernel.message.PeerMessage;
 import org.marjoramswitch.kernel.model.CellId;
@@ -60,7 +60,7 @@
     private final FairShares shares;
     private final long openAtMs;
     private final Map<TargetId, TargetSlots> targets = new TreeMap<>();
-    private final Map<InstanceId, EntryLedger> entries = new TreeMap<>();
+    private final Map<InstanceId, EntryState> entries = new TreeMap<>();
     private final Map<CustomerId, Set<InstanceId>> offering = new HashMap<>();
     private final Map<CustomerId, Long> chargesTold = new HashMap<>();
     private long nextSequence = 1;
@@ -94,31 +94,31 @@
     }
 
     /** Whether any entry is registered. */
-    public boolean inUse() {
+    public boolean hasEntries() {
         return !entries.isEmpty();
     }
 
     /** Whether the entry is registered and its offers may be granted. */
-    public boolean serves(InstanceId entry) {
-        EntryLedger ledger = entries.get(entry);
+    public boolean isConnected(InstanceId entry) {
+        EntryState ledger = entries.get(entry);
         return ledger != null && ledger.connected();
     }
 
     /** Whether anything is kept of the entry. */
-    public boolean knows(InstanceId entry) {
+    public boolean isRegistered(InstanceId entry) {
         return entries.containsKey(entry);
     }
 
     /** Something came from the entry. */
-    public void heard(InstanceId entry) {
-        EntryLedger ledger = entries.get(entry);
+    public void messageReceived(InstanceId entry) {
+        EntryState ledger = entries.get(entry);
         if (ledger != null) {
             ledger.heard();
         }
     }
 
     /** The entries that were sent grants and must be heard from. */
-    public List<InstanceId> awaited() {
+    public List<InstanceId> entriesToProbe() {
         return entries.entrySet().stream()
                 .filter(entry -> entry.getValue().connected())
                 .filter(entry -> entry.getValue().unheardGrants() > UNHEARD_GRANTS)
@@ -148,7 +148,7 @@
     /** Takes an entry's whole state in place of what was known of it. */
     public void register(InstanceId entry, long incarnation, PeerMessage.Register register, long nowMs) {
         Map<Long, GrantedRequest> underway = forget(entry, incarnation, register.lastSequence());
-        EntryLedger ledger = new EntryLedger(incarnation);
+        EntryState ledger = new EntryState(incarnation);
         entries.put(entry, ledger);
         register.standings().forEach(standing -> shares.adopt(standing.customer(), standing.aheadTokens()));
         register.holdings().forEach(holding -> hold(ledger, holding, nowMs));
@@ -158,7 +158,7 @@
 
     /** The entry is gone or no longer takes this instance for the arbiter. */
     public void unregister(InstanceId entry) {
-        EntryLedger ledger = entries.get(entry);
+        EntryState ledger = entries.get(entry);
         if (ledger != null) {
             forget(entry, ledger.incarnation(), Long.MAX_VALUE);
         }
@@ -169,7 +169,7 @@
      * on at their targets, so their slots stay taken.
      */
     public void disconnected(InstanceId entry) {
-        EntryLedger ledger = entries.get(entry);
+        EntryState ledger = entries.get(entry);
         if (ledger == null) {
             return;
         }
@@ -179,14 +179,14 @@
 
     /** The entry is heard again and was asked to register; what it has in flight stays accounted for until it does. */
     public void reconnected(InstanceId entry) {
-        EntryLedger ledger = entries.get(entry);
+        EntryState ledger = entries.get(entry);
         if (ledger != null) {
             ledger.connected(true);
         }
     }
 
     public void demand(InstanceId entry, PeerMessage.Demand demand) {
-        EntryLedger ledger = entries.get(entry);
+        EntryState ledger = entries.get(entry);
         if (ledger == null || !ledger.connected()) {
             return;
         }
@@ -194,7 +194,7 @@
     }
 
     public void declined(InstanceId entry, long sequence, PeerMessage.DeclineReason reason) {
-        EntryLedger ledger = entries.get(entry);
+        EntryState ledger = entries.get(entry);
         GrantedRequest request = ledger == null ? null : ledger.granted().remove(sequence);
         if (request == null) {
             return;
@@ -209,7 +209,7 @@
     }
 
     public void progress(InstanceId entry, long sequence, long costTokens) {
-        EntryLedger ledger = entries.get(entry);
+        EntryState ledger = entries.get(entry);
         GrantedRequest request = ledger == null ? null : ledger.granted().get(sequence);
         if (request == null) {
             return;
@@ -219,7 +219,7 @@
     }
 
     public void ended(InstanceId entry, long sequence, long costTokens, boolean targetFault, long nowMs) {
-        EntryLedger ledger = entries.get(entry);
+        EntryState ledger = entries.get(entry);
         GrantedRequest request = ledger == null ? null : ledger.granted().remove(sequence);
         if (request == null) {
             return;
@@ -228,7 +228,7 @@
         shares.charge(request.customer(), request.recharge(costTokens));
         noteHealth(request.target(), targetFault, nowMs);
         if (!targetFault && costTokens > 0) {
-            shares.learn(request.customer(), costTokens);
+            shares.updateEstimate(request.customer(), costTokens);
         }
     }
 
@@ -244,14 +244,14 @@
      * time in which it was not would arrive in one lump, after its lift to the floor elsewhere, and hold it back for
      * seconds; the lift forgives them in any case. A message lost with its link loses one interval's charges.
      */
-    public PeerMessage.@Nullable Charges chargesToTell(long nowMs) {
+    public PeerMessage.@Nullable Charges chargesToSend(long nowMs) {
         if (nowMs < nextChargesAtMs) {
             return null;
         }
         nextChargesAtMs = nowMs + options.chargesIntervalMs();
         Map<CustomerId, Long> totals = new HashMap<>();
         Map<CustomerId, Long> changes = new LinkedHashMap<>();
-        for (FairAccount account : shares.inOrder()) {
+        for (CustomerAccount account : shares.backloggedInOrder()) {
             long total = Math.round(account.chargedTokens());
             long change = total - chargesTold.getOrDefault(account.customer(), total);
             totals.put(account.customer(), total);
@@ -265,13 +265,13 @@
     }
 
     /** Grants while a target has a free slot and a connected entry offers a request. */
-    public void grantFree(long nowMs, ActionSink sink) {
+    public void grantFreeSlots(long nowMs, ActionSink sink) {
         if (nowMs < openAtMs) {
             return;
         }
         shares.endAdoption();
         while (true) {
-            FairAccount next = shares.least();
+            CustomerAccount next = shares.least();
             TargetSlots target = next == null ? null : freest(nowMs);
             if (next == null || target == null) {
                 return;
@@ -280,26 +280,26 @@
         }
     }
 
-    private void grant(FairAccount next, TargetSlots target, long nowMs, ActionSink sink) {
+    private void grant(CustomerAccount next, TargetSlots target, long nowMs, ActionSink sink) {
         CustomerId customer = next.customer();
-        FairAccount runnerUp = shares.runnerUp();
+        CustomerAccount runnerUp = shares.runnerUp();
         InstanceId entry = nextEntry(customer);
-        EntryLedger ledger = entryLedger(entry);
+        EntryState ledger = entryLedger(entry);
         long sequence = nextSequence++;
         double estimate = next.estimateTokens();
         double charge = FairShares.expectedCostTokens(0, estimate);
-        long aheadTokens = Math.round(shares.ahead(customer));
+        long aheadTokens = Math.round(shares.lead(customer));
         TargetId targetId = target.settings().id();
         target.started(nowMs);
         ledger.granted(sequence, new GrantedRequest(customer, targetId, estimate, charge));
-        EntryLedger.Offered offered = ledger.offers().get(customer);
+        EntryState.Offered offered = ledger.offers().get(customer);
         if (offered != null) {
             offered.lastGrant(sequence);
         }
         offer(entry, ledger, customer, -1, offered == null ? 0 : offered.urgency());
         shares.charge(customer, charge);
         sink.accept(new Action.SendPeer(
-                entry, new PeerMessage.Grant(cell, sequence, customer, targetId, Math.round(shares.ahead(customer)))));
+                entry, new PeerMessage.Grant(cell, sequence, customer, targetId, Math.round(shares.lead(customer)))));
         sink.accept(new Action.Decided(Decision.of(
                 "grant",
                 "cell",
@@ -324,9 +324,9 @@
 
     private InstanceId nextEntry(CustomerId customer) {
         InstanceId best = null;
-        EntryLedger.Offered bestOffer = null;
+        EntryState.Offered bestOffer = null;
         for (InstanceId entry : offering.getOrDefault(customer, Set.of())) {
-            EntryLedger.Offered offer = entryLedger(entry).offers().get(customer);
+            EntryState.Offered offer = entryLedger(entry).offers().get(customer);
             if (offer != null && (bestOffer == null || before(offer, bestOffer))) {
                 best = entry;
                 bestOffer = offer;
@@ -338,15 +338,15 @@
         return best;
     }
 
-    private static boolean before(EntryLedger.Offered left, EntryLedger.Offered right) {
+    private static boolean before(EntryState.Offered left, EntryState.Offered right) {
         if (left.urgency() != right.urgency()) {
             return left.urgency() < right.urgency();
         }
         return left.lastGrant() < right.lastGrant();
     }
 
-    private EntryLedger entryLedger(InstanceId entry) {
-        EntryLedger ledger = entries.get(entry);
+    private EntryState entryLedger(InstanceId entry) {
+        EntryState ledger = entries.get(entry);
         if (ledger == null) {
             throw new IllegalStateException("no ledger of " + entry);
         }
@@ -370,9 +370,9 @@
                 .sum();
     }
 
-    private void offer(InstanceId entry, EntryLedger ledger, CustomerId customer, int added, int urgency) {
-        EntryLedger.Offered offered =
-                ledger.offers().computeIfAbsent(customer, missing -> new EntryLedger.Offered(nextSequence));
+    private void offer(InstanceId entry, EntryState ledger, CustomerId customer, int added, int urgency) {
+        EntryState.Offered offered =
+                ledger.offers().computeIfAbsent(customer, missing -> new EntryState.Offered(nextSequence));
         int before = offered.waiting();
         offered.waiting(before + added);
         offered.urgency(urgency);
@@ -385,7 +385,7 @@
         shares.waiting(customer, shares.account(customer).waiting() + change);
     }
 
-    private void dropOffer(InstanceId entry, EntryLedger ledger, CustomerId customer) {
+    private void dropOffer(InstanceId entry, EntryState ledger, CustomerId customer) {
         ledger.offers().remove(customer);
         Set<InstanceId> others = offering.get(customer);
         if (others == null) {
@@ -397,9 +397,9 @@
         }
     }
 
-    private void withdrawOffers(InstanceId entry, EntryLedger ledger) {
+    private void withdrawOffers(InstanceId entry, EntryState ledger) {
         for (CustomerId customer : List.copyOf(ledger.offers().keySet())) {
-            EntryLedger.Offered offered = ledger.offers().get(customer);
+            EntryState.Offered offered = ledger.offers().get(customer);
             int waiting = offered == null ? 0 : offered.waiting();
             dropOffer(entry, ledger, customer);
             shares.waiting(customer, shares.account(customer).waiting() - waiting);
@@ -408,7 +408,7 @@
 
     /** Drops an entry's state and returns its grants later than {@code lastSequence}. */
     private Map<Long, GrantedRequest> forget(InstanceId entry, long incarnation, long lastSequence) {
-        EntryLedger ledger = entries.remove(entry);
+        EntryState ledger = entries.remove(entry);
         Map<Long, GrantedRequest> underway = new LinkedHashMap<>();
         if (ledger == null) {
             return underway;
@@ -425,7 +425,7 @@
         return underway;
     }
 
-    private void hold(EntryLedger ledger, PeerMessage.Holding holding, long nowMs) {
+    private void hold(EntryState ledger, PeerMessage.Holding holding, long nowMs) {
         double estimate = shares.account(holding.customer()).estimateTokens();
         double charge = FairShares.expectedCostTokens(holding.costTokens(), estimate);
         // The standing of the customer already holds this charge, so it is an origin here and not charged again.
@@ -433,7 +433,7 @@
         restore(ledger, -holding.localId(), request, nowMs);
     }
 
-    private void restore(EntryLedger ledger, long sequence, GrantedRequest request, long nowMs) {
+    private void restore(EntryState ledger, long sequence, GrantedRequest request, long nowMs) {
         ledger.granted().put(sequence, request);
         TargetSlots slots = targets.get(request.target());
         if (slots != null) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/EntryLedger.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/EntryState.java
@@ -5,14 +5,14 @@
 import org.marjoramswitch.kernel.model.CustomerId;
 
 /** What an arbiter knows of one entry: the requests that it offers and the ones it has in flight. */
-final class EntryLedger {
+final class EntryState {
     private final Map<CustomerId, Offered> offers = new TreeMap<>();
     private final Map<Long, GrantedRequest> granted = new TreeMap<>();
     private final long incarnation;
     private boolean connected = true;
     private int unheardGrants;
 
-    EntryLedger(long incarnation) {
+    EntryState(long incarnation) {
         this.incarnation = incarnation;
     }
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/capacity/OutlierEjection.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/capacity/OutlierEjection.java
@@ -55,7 +55,7 @@
         return mayProbe ? Math.min(1, free) : 0;
     }
 
-    public boolean ejected(long nowMs) {
+    public boolean isEjected(long nowMs) {
         return nowMs < ejectedUntilMs;
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/fair/FairAccount.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/fair/CustomerAccount.java
@@ -3,7 +3,7 @@
 import org.marjoramswitch.kernel.model.CustomerId;
 
 /** One customer's account in {@link FairShares}. */
-public final class FairAccount {
+public final class CustomerAccount {
     /** Share of the newest request in the running estimate of a customer's cost. */
     private static final double ESTIMATE_GAIN = 0.1;
 
@@ -15,7 +15,7 @@
     private int waiting;
     private boolean adopted;
 
-    FairAccount(CustomerId customer, double weight, double estimateTokens) {
+    CustomerAccount(CustomerId customer, double weight, double estimateTokens) {
         this.customer = customer;
         this.weight = weight;
         this.estimateTokens = estimateTokens;
@@ -40,7 +40,7 @@
         return estimateTokens;
     }
 
-    public boolean backlogged() {
+    public boolean isBacklogged() {
         return waiting > 0;
     }
 
@@ -86,7 +86,7 @@
         adopted = isAdopted;
     }
 
-    void learn(double costTokens) {
+    void updateEstimate(double costTokens) {
         estimateTokens += ESTIMATE_GAIN * (costTokens - estimateTokens);
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/fair/FairShares.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/fair/FairShares.java
@@ -53,11 +53,12 @@
     /** The expected rest of a running request is never below this share of its customer's running estimate. */
     private static final double LEAST_REST = 0.5;
 
-    private final Map<CustomerId, FairAccount> accounts = new TreeMap<>();
+    private final Map<CustomerId, CustomerAccount> accounts = new TreeMap<>();
     /** Of equal counters the one charged less goes first: a newcomer lifted to a flooding customer's counter. */
-    private final TreeSet<FairAccount> backlogged = new TreeSet<>(Comparator.comparingDouble(FairAccount::counter)
-            .thenComparingDouble(FairAccount::chargedTokens)
-            .thenComparing(FairAccount::customer));
+    private final TreeSet<CustomerAccount> backlogged =
+            new TreeSet<>(Comparator.comparingDouble(CustomerAccount::counter)
+                    .thenComparingDouble(CustomerAccount::chargedTokens)
+                    .thenComparing(CustomerAccount::customer));
 
     private final ToDoubleFunction<CustomerId> weights;
     private final double initialEstimateTokens;
@@ -97,11 +98,11 @@
         return (3.0 * slotsHeld + 1) * largestCostTokens + CREDIT_ESTIMATES * initialEstimateTokens;
     }
 
-    public FairAccount account(CustomerId customer) {
+    public CustomerAccount account(CustomerId customer) {
         return accounts.computeIfAbsent(customer, this::open);
     }
 
-    public Iterable<FairAccount> accounts() {
+    public Iterable<CustomerAccount> accounts() {
         return accounts.values();
     }
 
@@ -120,11 +121,11 @@
 
     /** Sets how many of a customer's requests wait; a customer that becomes backlogged is raised to the floor less the credit. */
     public void waiting(CustomerId customer, int requests) {
-        FairAccount account = account(customer);
+        CustomerAccount account = account(customer);
         if (requests == account.waiting()) {
             return;
         }
-        boolean wasBacklogged = account.backlogged();
+        boolean wasBacklogged = account.isBacklogged();
         if (wasBacklogged && requests > 0) {
             account.waiting(requests);
             return;
@@ -145,13 +146,13 @@
     }
 
     /** The backlogged customer to be served next. */
-    public @Nullable FairAccount least() {
+    public @Nullable CustomerAccount least() {
         return backlogged.isEmpty() ? null : backlogged.first();
     }
 
     /** The one after {@link #least}, for the log. */
-    public @Nullable FairAccount runnerUp() {
-        Iterator<FairAccount> inOrder = backlogged.iterator();
+    public @Nullable CustomerAccount runnerUp() {
+        Iterator<CustomerAccount> inOrder = backlogged.iterator();
         if (!inOrder.hasNext()) {
             return null;
         }
@@ -160,24 +161,24 @@
     }
 
     /** The backlogged customers, the one to be served next first. */
-    public Iterable<FairAccount> inOrder() {
+    public Iterable<CustomerAccount> backloggedInOrder() {
         return backlogged;
     }
 
     /** Charges tokens served here; negative to take back what was charged too much. */
     public void charge(CustomerId customer, double tokens) {
-        FairAccount account = account(customer);
+        CustomerAccount account = account(customer);
         reorder(account, () -> account.chargeHere(tokens));
     }
 
     /** Counts tokens that another cell of the pool charged. */
     public void chargeElsewhere(CustomerId customer, double tokens) {
-        FairAccount account = account(customer);
+        CustomerAccount account = account(customer);
         reorder(account, () -> account.chargeElsewhere(tokens));
     }
 
     /** How far a customer is ahead of the floor; what an entry keeps for the next arbiter. */
-    public double ahead(CustomerId customer) {
+    public double lead(CustomerId customer) {
         return account(customer).counter() - floor();
     }
 
@@ -188,7 +189,7 @@
      * customer the highest holds, since counters of waiting customers do not fall.
      */
     public void adopt(CustomerId customer, double aheadTokens) {
-        FairAccount account = account(customer);
+        CustomerAccount account = account(customer);
         double position = adopting ? aheadTokens : floor() + aheadTokens;
         if (account.adopted() || !adopting) {
             reorder(account, () -> account.raiseTo(position));
@@ -208,12 +209,12 @@
     }
 
     /** A request of the customer ended at this cost. */
-    public void learn(CustomerId customer, double costTokens) {
-        account(customer).learn(costTokens);
+    public void updateEstimate(CustomerId customer, double costTokens) {
+        account(customer).updateEstimate(costTokens);
     }
 
-    private FairAccount open(CustomerId customer) {
-        return new FairAccount(customer, weightOf(customer), initialEstimateTokens);
+    private CustomerAccount open(CustomerId customer) {
+        return new CustomerAccount(customer, weightOf(customer), initialEstimateTokens);
     }
 
     private double weightOf(CustomerId customer) {
@@ -227,7 +228,7 @@
         }
     }
 
-    private void reorder(FairAccount account, Runnable change) {
+    private void reorder(CustomerAccount account, Runnable change) {
         boolean sorted = backlogged.remove(account);
         change.run();
         if (sorted) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
@@ -12,7 +12,7 @@
 import org.jspecify.annotations.Nullable;
 import org.marjoramswitch.kernel.action.Action;
 import org.marjoramswitch.kernel.action.ActionSink;
-import org.marjoramswitch.kernel.fair.FairAccount;
+import org.marjoramswitch.kernel.fair.CustomerAccount;
 import org.marjoramswitch.kernel.fair.FairShares;
 import org.marjoramswitch.kernel.message.PeerMessage;
 import org.marjoramswitch.kernel.message.PeerMessage.PlacementEnd;
@@ -279,7 +279,7 @@
     private void placeInTime(TargetChoice choice, long nowMs, ActionSink sink) {
         Set<CustomerId> triedOut = new HashSet<>();
         Set<Long> tried = new HashSet<>();
-        FairAccount next = leastOf(triedOut);
+        CustomerAccount next = leastOf(triedOut);
         while (next != null && choice.hasOpen()) {
             if (!placeNextOf(next.customer(), choice, tried, nowMs, sink)) {
                 triedOut.add(next.customer());
@@ -288,8 +288,8 @@
         }
     }
 
-    private @Nullable FairAccount leastOf(Set<CustomerId> triedOut) {
-        for (FairAccount account : shares.inOrder()) {
+    private @Nullable CustomerAccount leastOf(Set<CustomerId> triedOut) {
+        for (CustomerAccount account : shares.backloggedInOrder()) {
             if (!triedOut.contains(account.customer())) {
                 return account;
             }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetLoad.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetLoad.java
@@ -74,7 +74,7 @@
     }
 
     boolean isEjected(long nowMs) {
-        return health.ejected(nowMs);
+        return health.isEjected(nowMs);
     }
 
     long uncachedTokens(List<PromptPart> prompt) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/TurnEstimate.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/TurnEstimate.java
@@ -1,6 +1,6 @@
 package org.marjoramswitch.kernel.placement;
 
-import org.marjoramswitch.kernel.fair.FairAccount;
+import org.marjoramswitch.kernel.fair.CustomerAccount;
 import org.marjoramswitch.kernel.fair.FairShares;
 
 /**
@@ -28,7 +28,7 @@
      */
     static double waitMs(
             WaitingRequest request, WaitingQueues waiting, FairShares shares, double msPerToken, long engines) {
-        FairAccount own = shares.account(request.customer());
+        CustomerAccount own = shares.account(request.customer());
         double aheadCost = 0;
         double aheadReading = 0;
         for (WaitingRequest earlier : waiting.of(request.customer()).requests().headSet(request)) {
@@ -36,7 +36,7 @@
             aheadReading += earlier.readingTokens();
         }
         double turnAtCounter = own.counter() + aheadCost / own.weight();
-        for (FairAccount other : shares.inOrder()) {
+        for (CustomerAccount other : shares.backloggedInOrder()) {
             if (other != own) {
                 aheadReading += readingBefore(turnAtCounter, other, waiting.of(other.customer()));
             }
@@ -45,7 +45,7 @@
     }
 
     /** What a customer is served of its backlog until its counter has come so far. */
-    private static double readingBefore(double counter, FairAccount account, CustomerBacklog backlog) {
+    private static double readingBefore(double counter, CustomerAccount account, CustomerBacklog backlog) {
         double cost = (counter - account.counter()) * account.weight();
         if (cost <= 0 || backlog.costTokens() == 0) {
             return 0;
--- a/kernel/src/test/java/org/marjoramswitch/kernel/arbiter/ArbiterTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/arbiter/ArbiterTest.java
@@ -144,7 +144,7 @@
         register(E2, new PeerMessage.Offer(A, 1, 0));
 
         List<InstanceId> order = new ArrayList<>();
-        arbiter.grantFree(NOW_MS, action -> {
+        arbiter.grantFreeSlots(NOW_MS, action -> {
             if (action instanceof Action.SendPeer send) {
                 order.add(send.to());
             }
@@ -170,14 +170,14 @@
         // it once has one, it would be held back at the other cells for seconds.
         register(E1, offer(A, 1));
         PeerMessage.Grant grant = grants(NOW_MS).get(0);
-        assertNull(arbiter.chargesToTell(NOW_MS));
+        assertNull(arbiter.chargesToSend(NOW_MS));
         arbiter.ended(E1, grant.sequence(), 5_000, false, NOW_MS);
 
         register(E1, offer(A, SLOTS + 2));
-        assertNull(arbiter.chargesToTell(NOW_MS + 250));
+        assertNull(arbiter.chargesToSend(NOW_MS + 250));
         grants(NOW_MS + 250);
 
-        PeerMessage.Charges told = arbiter.chargesToTell(NOW_MS + 500);
+        PeerMessage.Charges told = arbiter.chargesToSend(NOW_MS + 500);
         assertNotNull(told);
         assertTrue(told.chargedTokens().get(A) < 5_000, told::toString);
     }
@@ -205,7 +205,7 @@
 
     private List<PeerMessage.Grant> grants(long nowMs) {
         List<PeerMessage.Grant> grants = new ArrayList<>();
-        arbiter.grantFree(nowMs, action -> {
+        arbiter.grantFreeSlots(nowMs, action -> {
             if (action instanceof Action.SendPeer send && send.message() instanceof PeerMessage.Grant grant) {
                 grants.add(grant);
             }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/fair/FairSharesTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/fair/FairSharesTest.java
@@ -63,7 +63,7 @@
             shares.waiting(CustomerId.of("n" + i), 1_000);
         }
 
-        assertEquals(-1_000, shares.ahead(CustomerId.of("n49")), 1e-9);
+        assertEquals(-1_000, shares.lead(CustomerId.of("n49")), 1e-9);
     }
 
     @Test
@@ -91,8 +91,8 @@
         shares.waiting(B, 1);
         shares.waiting(A, 1);
 
-        assertEquals(0, shares.ahead(A), 1e-9);
-        assertEquals(-CREDIT_GRANTS * 100, shares.ahead(B), 1e-9);
+        assertEquals(0, shares.lead(A), 1e-9);
+        assertEquals(-CREDIT_GRANTS * 100, shares.lead(B), 1e-9);
     }
 
     @Test
@@ -128,7 +128,7 @@
         }
 
         double sum = 0;
-        for (FairAccount account : shares.accounts()) {
+        for (CustomerAccount account : shares.accounts()) {
             sum += account.chargedTokens();
         }
 
@@ -136,7 +136,7 @@
     }
 
     private static CustomerId next(FairShares shares) {
-        FairAccount least = shares.least();
+        CustomerAccount least = shares.least();
         assertNotNull(least);
         return least.customer();
     }
