--- a/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/Arbiter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/Arbiter.java
@@ -29,30 +29,29 @@
 /**
  * Grants the slots of one cell's targets to the requests that entries offer.
  *
- * <p>Entries offer numbers of waiting requests per customer, not single requests. Whenever a target has a free slot
- * and anything is offered, the backlogged customer with the least virtual counter ({@link FairShares}) gets it; of the
- * entries that offer that customer's requests the one with the most urgent, then the one that has waited longest for a
- * grant, receives the grant, and binds it to one of its requests only then. A grant that finds nothing to bind comes
- * back as declined.
+ * <p>Entries offer counts of waiting requests per customer, not single requests. A free slot goes to the backlogged
+ * customer with the least virtual counter ({@link FairShares}). Of the entries that offer that customer's requests, the
+ * one with the most urgent request receives the grant; ties go to the one that has waited longest for a grant. The
+ * entry binds the grant to one of its requests on receipt and declines it if none is waiting.
  *
- * <p>All state here is soft. An entry's registration replaces what was known of that entry, so a new arbiter is whole
- * once every entry has registered. Until then it may not know of requests in flight, so it collects registrations for
- * a while before its first grant ({@code openAtMs}); entries use their own freed slots meanwhile. Should two instances
- * hold themselves for the arbiter of a cell, each grants to the entries that registered with it, and the targets' load
- * reports keep them from giving much beyond the slots.
+ * <p>State: all state is soft. An entry's registration replaces the state held for that entry, so a new arbiter's state
+ * is complete once every entry has registered. Until then it may not know all requests in flight, so it collects
+ * registrations for a while before its first grant ({@code openAtMs}); meanwhile, entries reuse their own freed slots.
+ * If two instances both act as the arbiter of a cell, each grants to the entries that registered with it, and the
+ * targets' load reports limit how far the grants exceed the slots.
  *
- * <p>Example of a crossing: the entry re-registers while grant 7 is on its way to it. The registration says that 6 was
- * the last grant seen, so grant 7 stays in the books and is neither lost nor counted twice.
+ * <p>Edge cases: if an entry re-registers while grant 7 is in transit, the registration names 6 as the last grant
+ * received, so grant 7 stays accounted for and is neither lost nor counted twice.
  *
- * <p>Cost: a grant is logarithmic in backlogged customers, linear in the entries that offer for the chosen customer
- * and in the cell's targets. Not thread-safe.
+ * <p>Cost: a grant is logarithmic in the backlogged customers and linear in the entries that offer requests of the
+ * chosen customer and in the cell's targets. Not thread-safe.
  */
 public final class Arbiter {
     /**
-     * An entry is expected to be heard from once it was sent more grants than this. Fewer are common where a customer
-     * is light, and probing after each would cost as much as the grant.
+     * An entry that was sent more grants than this without sending any message is probed. Fewer are common with light
+     * customers, and a probe after each grant would cost as much as the grant.
      */
-    private static final int UNHEARD_GRANTS = 4;
+    private static final int MAX_UNACKNOWLEDGED_GRANTS = 4;
 
     private final CellId cell;
     private final KernelOptions options;
@@ -62,7 +61,7 @@
     private final Map<TargetId, TargetSlots> targets = new TreeMap<>();
     private final Map<InstanceId, EntryState> entries = new TreeMap<>();
     private final Map<CustomerId, Set<InstanceId>> offering = new HashMap<>();
-    private final Map<CustomerId, Long> chargesTold = new HashMap<>();
+    private final Map<CustomerId, Long> lastChargeTotals = new HashMap<>();
     private long nextSequence = 1;
     private long nextChargesAtMs;
 
@@ -79,7 +78,7 @@
         this.shares = FairShares.create(weights, pool.initialEstimateTokens());
     }
 
-    /** @param openAtMs the time of the first grant */
+    /** @param openAtMs the earliest time of a grant */
     public static Arbiter create(
             CellId cell,
             PoolSettings pool,
@@ -100,33 +99,33 @@
 
     /** Whether the entry is registered and its offers may be granted. */
     public boolean isConnected(InstanceId entry) {
-        EntryState ledger = entries.get(entry);
-        return ledger != null && ledger.connected();
+        EntryState state = entries.get(entry);
+        return state != null && state.connected();
     }
 
-    /** Whether anything is kept of the entry. */
+    /** Whether the arbiter holds state of the entry, connected or not. */
     public boolean isRegistered(InstanceId entry) {
         return entries.containsKey(entry);
     }
 
-    /** Something came from the entry. */
+    /** Notes that a message arrived from the entry. */
     public void messageReceived(InstanceId entry) {
-        EntryState ledger = entries.get(entry);
-        if (ledger != null) {
-            ledger.heard();
+        EntryState state = entries.get(entry);
+        if (state != null) {
+            state.messageReceived();
         }
     }
 
-    /** The entries that were sent grants and must be heard from. */
+    /** The connected entries with more than {@value #MAX_UNACKNOWLEDGED_GRANTS} unacknowledged grants. */
     public List<InstanceId> entriesToProbe() {
         return entries.entrySet().stream()
                 .filter(entry -> entry.getValue().connected())
-                .filter(entry -> entry.getValue().unheardGrants() > UNHEARD_GRANTS)
+                .filter(entry -> entry.getValue().unacknowledgedGrants() > MAX_UNACKNOWLEDGED_GRANTS)
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
-    /** Sets the cell's targets. Requests in flight at a target that is no longer in the cell stay accounted for. */
+    /** Sets the cell's targets. Requests in flight at a target that has left the cell stay accounted for. */
     public void targets(Collection<TargetSettings> settings, Set<TargetId> leaving) {
         Set<TargetId> named = new TreeSet<>();
         for (TargetSettings target : settings) {
@@ -145,57 +144,57 @@
         }
     }
 
-    /** Takes an entry's whole state in place of what was known of it. */
+    /** Replaces all state held for the entry, except grants that are in transit to it. */
     public void register(InstanceId entry, long incarnation, PeerMessage.Register register, long nowMs) {
-        Map<Long, GrantedRequest> underway = forget(entry, incarnation, register.lastSequence());
-        EntryState ledger = new EntryState(incarnation);
-        entries.put(entry, ledger);
+        Map<Long, GrantedRequest> inTransit = removeEntry(entry, incarnation, register.lastSequence());
+        EntryState state = new EntryState(incarnation);
+        entries.put(entry, state);
         register.standings().forEach(standing -> shares.adopt(standing.customer(), standing.aheadTokens()));
-        register.holdings().forEach(holding -> hold(ledger, holding, nowMs));
-        underway.forEach((sequence, request) -> restore(ledger, sequence, request, nowMs));
-        register.offers().forEach(offer -> offer(entry, ledger, offer.customer(), offer.waiting(), offer.urgency()));
+        register.holdings().forEach(holding -> addHolding(state, holding, nowMs));
+        inTransit.forEach((sequence, request) -> restore(state, sequence, request, nowMs));
+        register.offers().forEach(offer -> offer(entry, state, offer.customer(), offer.waiting(), offer.urgency()));
     }
 
-    /** The entry is gone or no longer takes this instance for the arbiter. */
+    /** Removes an entry that is gone or no longer uses this instance as the arbiter. */
     public void unregister(InstanceId entry) {
-        EntryState ledger = entries.get(entry);
-        if (ledger != null) {
-            forget(entry, ledger.incarnation(), Long.MAX_VALUE);
+        EntryState state = entries.get(entry);
+        if (state != null) {
+            removeEntry(entry, state.incarnation(), Long.MAX_VALUE);
         }
     }
 
     /**
-     * The link to the entry is down or silent. Its offers cannot be granted until it registers anew; its requests in flight go
-     * on at their targets, so their slots stay taken.
+     * Marks the link to the entry as down or silent. Its offers are withdrawn until it registers again. Its requests in
+     * flight continue at their targets, so their slots stay taken.
      */
     public void disconnected(InstanceId entry) {
-        EntryState ledger = entries.get(entry);
-        if (ledger == null) {
+        EntryState state = entries.get(entry);
+        if (state == null) {
             return;
         }
-        ledger.connected(false);
-        withdrawOffers(entry, ledger);
+        state.connected(false);
+        withdrawOffers(entry, state);
     }
 
-    /** The entry is heard again and was asked to register; what it has in flight stays accounted for until it does. */
+    /** Marks the entry as connected again. Its requests in flight stay accounted for until it re-registers. */
     public void reconnected(InstanceId entry) {
-        EntryState ledger = entries.get(entry);
-        if (ledger != null) {
-            ledger.connected(true);
+        EntryState state = entries.get(entry);
+        if (state != null) {
+            state.connected(true);
         }
     }
 
     public void demand(InstanceId entry, PeerMessage.Demand demand) {
-        EntryState ledger = entries.get(entry);
-        if (ledger == null || !ledger.connected()) {
+        EntryState state = entries.get(entry);
+        if (state == null || !state.connected()) {
             return;
         }
-        offer(entry, ledger, demand.customer(), demand.added(), demand.urgency());
+        offer(entry, state, demand.customer(), demand.added(), demand.urgency());
     }
 
     public void declined(InstanceId entry, long sequence, PeerMessage.DeclineReason reason) {
-        EntryState ledger = entries.get(entry);
-        GrantedRequest request = ledger == null ? null : ledger.granted().remove(sequence);
+        EntryState state = entries.get(entry);
+        GrantedRequest request = state == null ? null : state.granted().remove(sequence);
         if (request == null) {
             return;
         }
@@ -203,14 +202,15 @@
         shares.charge(request.customer(), request.recharge(0));
         TargetSlots target = targets.get(request.target());
         if (target != null && reason == PeerMessage.DeclineReason.TARGET_LEAVING) {
-            // The entry's list is newer; granting on by the older one would go to and fro until it is read again.
+            // The entry's target list is newer. Without this, grants and declines would alternate until this instance
+            // reads the list again.
             target.leaving(true);
         }
     }
 
     public void progress(InstanceId entry, long sequence, long costTokens) {
-        EntryState ledger = entries.get(entry);
-        GrantedRequest request = ledger == null ? null : ledger.granted().get(sequence);
+        EntryState state = entries.get(entry);
+        GrantedRequest request = state == null ? null : state.granted().get(sequence);
         if (request == null) {
             return;
         }
@@ -219,30 +219,32 @@
     }
 
     public void ended(InstanceId entry, long sequence, long costTokens, boolean targetFault, long nowMs) {
-        EntryState ledger = entries.get(entry);
-        GrantedRequest request = ledger == null ? null : ledger.granted().remove(sequence);
+        EntryState state = entries.get(entry);
+        GrantedRequest request = state == null ? null : state.granted().remove(sequence);
         if (request == null) {
             return;
         }
         release(request.target());
         shares.charge(request.customer(), request.recharge(costTokens));
-        noteHealth(request.target(), targetFault, nowMs);
+        recordHealth(request.target(), targetFault, nowMs);
         if (!targetFault && costTokens > 0) {
             shares.updateEstimate(request.customer(), costTokens);
         }
     }
 
-    /** Counts what another cell's arbiter charged since its last message. */
+    /** Adds the tokens that another cell's arbiter charged since its last message. */
     public void charges(PeerMessage.Charges charges) {
         charges.chargedTokens().forEach(shares::chargeElsewhere);
     }
 
     /**
-     * What the other cells' arbiters are to be told now, null where it is not time or nothing changed.
+     * Returns the charges to send to the arbiters of the pool's other cells, or null if the interval has not elapsed or
+     * nothing changed.
      *
-     * <p>A customer is told of only if it was backlogged at the last telling as well. Otherwise the charges of all the
-     * time in which it was not would arrive in one lump, after its lift to the floor elsewhere, and hold it back for
-     * seconds; the lift forgives them in any case. A message lost with its link loses one interval's charges.
+     * <p>Includes only customers that were also backlogged at the previous call. Otherwise the charges of the whole time
+     * without a backlog would arrive at once, after the customer was raised to the floor at the other cells, and delay
+     * it for seconds; raising it to the floor cancels these charges in any case. A message lost with its link loses the
+     * charges of one interval.
      */
     public PeerMessage.@Nullable Charges chargesToSend(long nowMs) {
         if (nowMs < nextChargesAtMs) {
@@ -253,18 +255,18 @@
         Map<CustomerId, Long> changes = new LinkedHashMap<>();
         for (CustomerAccount account : shares.backloggedInOrder()) {
             long total = Math.round(account.chargedTokens());
-            long change = total - chargesTold.getOrDefault(account.customer(), total);
+            long change = total - lastChargeTotals.getOrDefault(account.customer(), total);
             totals.put(account.customer(), total);
             if (change != 0) {
                 changes.put(account.customer(), change);
             }
         }
-        chargesTold.clear();
-        chargesTold.putAll(totals);
+        lastChargeTotals.clear();
+        lastChargeTotals.putAll(totals);
         return changes.isEmpty() ? null : new PeerMessage.Charges(cell, changes, freeSlots(nowMs));
     }
 
-    /** Grants while a target has a free slot and a connected entry offers a request. */
+    /** Grants slots until no target has a free slot or no connected entry offers a request. */
     public void grantFreeSlots(long nowMs, ActionSink sink) {
         if (nowMs < openAtMs) {
             return;
@@ -272,7 +274,7 @@
         shares.endAdoption();
         while (true) {
             CustomerAccount next = shares.least();
-            TargetSlots target = next == null ? null : freest(nowMs);
+            TargetSlots target = next == null ? null : leastLoadedFree(nowMs);
             if (next == null || target == null) {
                 return;
             }
@@ -284,19 +286,19 @@
         CustomerId customer = next.customer();
         CustomerAccount runnerUp = shares.runnerUp();
         InstanceId entry = nextEntry(customer);
-        EntryState ledger = entryLedger(entry);
+        EntryState state = entryState(entry);
         long sequence = nextSequence++;
         double estimate = next.estimateTokens();
         double charge = FairShares.expectedCostTokens(0, estimate);
         long aheadTokens = Math.round(shares.lead(customer));
         TargetId targetId = target.settings().id();
         target.started(nowMs);
-        ledger.granted(sequence, new GrantedRequest(customer, targetId, estimate, charge));
-        EntryState.Offered offered = ledger.offers().get(customer);
+        state.granted(sequence, new GrantedRequest(customer, targetId, estimate, charge));
+        EntryState.CustomerOffer offered = state.offers().get(customer);
         if (offered != null) {
             offered.lastGrant(sequence);
         }
-        offer(entry, ledger, customer, -1, offered == null ? 0 : offered.urgency());
+        offer(entry, state, customer, -1, offered == null ? 0 : offered.urgency());
         shares.charge(customer, charge);
         sink.accept(new Action.SendPeer(
                 entry, new PeerMessage.Grant(cell, sequence, customer, targetId, Math.round(shares.lead(customer)))));
@@ -324,10 +326,10 @@
 
     private InstanceId nextEntry(CustomerId customer) {
         InstanceId best = null;
-        EntryState.Offered bestOffer = null;
+        EntryState.CustomerOffer bestOffer = null;
         for (InstanceId entry : offering.getOrDefault(customer, Set.of())) {
-            EntryState.Offered offer = entryLedger(entry).offers().get(customer);
-            if (offer != null && (bestOffer == null || before(offer, bestOffer))) {
+            EntryState.CustomerOffer offer = entryState(entry).offers().get(customer);
+            if (offer != null && (bestOffer == null || precedes(offer, bestOffer))) {
                 best = entry;
                 bestOffer = offer;
             }
@@ -338,22 +340,22 @@
         return best;
     }
 
-    private static boolean before(EntryState.Offered left, EntryState.Offered right) {
+    private static boolean precedes(EntryState.CustomerOffer left, EntryState.CustomerOffer right) {
         if (left.urgency() != right.urgency()) {
             return left.urgency() < right.urgency();
         }
         return left.lastGrant() < right.lastGrant();
     }
 
-    private EntryState entryLedger(InstanceId entry) {
-        EntryState ledger = entries.get(entry);
-        if (ledger == null) {
-            throw new IllegalStateException("no ledger of " + entry);
+    private EntryState entryState(InstanceId entry) {
+        EntryState state = entries.get(entry);
+        if (state == null) {
+            throw new IllegalStateException("no state of entry " + entry);
         }
-        return ledger;
+        return state;
     }
 
-    private @Nullable TargetSlots freest(long nowMs) {
+    private @Nullable TargetSlots leastLoadedFree(long nowMs) {
         TargetSlots best = null;
         for (TargetSlots target : targets.values()) {
             boolean free = target.free(options.admitAhead(), nowMs) > 0;
@@ -370,23 +372,23 @@
                 .sum();
     }
 
-    private void offer(InstanceId entry, EntryState ledger, CustomerId customer, int added, int urgency) {
-        EntryState.Offered offered =
-                ledger.offers().computeIfAbsent(customer, missing -> new EntryState.Offered(nextSequence));
+    private void offer(InstanceId entry, EntryState state, CustomerId customer, int added, int urgency) {
+        EntryState.CustomerOffer offered =
+                state.offers().computeIfAbsent(customer, missing -> new EntryState.CustomerOffer(nextSequence));
         int before = offered.waiting();
         offered.waiting(before + added);
         offered.urgency(urgency);
         int change = offered.waiting() - before;
         if (offered.waiting() == 0) {
-            dropOffer(entry, ledger, customer);
+            dropOffer(entry, state, customer);
         } else {
             offering.computeIfAbsent(customer, missing -> new TreeSet<>()).add(entry);
         }
         shares.waiting(customer, shares.account(customer).waiting() + change);
     }
 
-    private void dropOffer(InstanceId entry, EntryState ledger, CustomerId customer) {
-        ledger.offers().remove(customer);
+    private void dropOffer(InstanceId entry, EntryState state, CustomerId customer) {
+        state.offers().remove(customer);
         Set<InstanceId> others = offering.get(customer);
         if (others == null) {
             return;
@@ -397,44 +399,44 @@
         }
     }
 
-    private void withdrawOffers(InstanceId entry, EntryState ledger) {
-        for (CustomerId customer : List.copyOf(ledger.offers().keySet())) {
-            EntryState.Offered offered = ledger.offers().get(customer);
+    private void withdrawOffers(InstanceId entry, EntryState state) {
+        for (CustomerId customer : List.copyOf(state.offers().keySet())) {
+            EntryState.CustomerOffer offered = state.offers().get(customer);
             int waiting = offered == null ? 0 : offered.waiting();
-            dropOffer(entry, ledger, customer);
+            dropOffer(entry, state, customer);
             shares.waiting(customer, shares.account(customer).waiting() - waiting);
         }
     }
 
-    /** Drops an entry's state and returns its grants later than {@code lastSequence}. */
-    private Map<Long, GrantedRequest> forget(InstanceId entry, long incarnation, long lastSequence) {
-        EntryState ledger = entries.remove(entry);
-        Map<Long, GrantedRequest> underway = new LinkedHashMap<>();
-        if (ledger == null) {
-            return underway;
+    /** Removes an entry's state and returns its grants later than {@code lastSequence}. */
+    private Map<Long, GrantedRequest> removeEntry(InstanceId entry, long incarnation, long lastSequence) {
+        EntryState state = entries.remove(entry);
+        Map<Long, GrantedRequest> inTransit = new LinkedHashMap<>();
+        if (state == null) {
+            return inTransit;
         }
-        withdrawOffers(entry, ledger);
-        // Grants to an earlier incarnation of the entry never start: only later ones of the same can be on their way.
-        boolean same = ledger.incarnation() == incarnation;
-        ledger.granted().forEach((sequence, request) -> {
+        withdrawOffers(entry, state);
+        // Grants to an earlier incarnation never start, so only grants to the current one can be in transit.
+        boolean sameIncarnation = state.incarnation() == incarnation;
+        state.granted().forEach((sequence, request) -> {
             release(request.target());
-            if (same && sequence > lastSequence) {
-                underway.put(sequence, request);
+            if (sameIncarnation && sequence > lastSequence) {
+                inTransit.put(sequence, request);
             }
         });
-        return underway;
+        return inTransit;
     }
 
-    private void hold(EntryState ledger, PeerMessage.Holding holding, long nowMs) {
+    private void addHolding(EntryState state, PeerMessage.Holding holding, long nowMs) {
         double estimate = shares.account(holding.customer()).estimateTokens();
         double charge = FairShares.expectedCostTokens(holding.costTokens(), estimate);
-        // The standing of the customer already holds this charge, so it is an origin here and not charged again.
+        // The customer's standing already includes this charge, so it is only recorded here and not charged again.
         GrantedRequest request = new GrantedRequest(holding.customer(), holding.target(), estimate, charge);
-        restore(ledger, -holding.localId(), request, nowMs);
+        restore(state, -holding.localId(), request, nowMs);
     }
 
-    private void restore(EntryState ledger, long sequence, GrantedRequest request, long nowMs) {
-        ledger.granted().put(sequence, request);
+    private void restore(EntryState state, long sequence, GrantedRequest request, long nowMs) {
+        state.granted().put(sequence, request);
         TargetSlots slots = targets.get(request.target());
         if (slots != null) {
             slots.started(nowMs);
@@ -448,7 +450,7 @@
         }
     }
 
-    private void noteHealth(TargetId target, boolean fault, long nowMs) {
+    private void recordHealth(TargetId target, boolean fault, long nowMs) {
         TargetSlots slots = targets.get(target);
         if (slots == null) {
             return;
@@ -460,7 +462,7 @@
         slots.health().succeeded();
     }
 
-    /** The pool's settings that the arbiter was created with. */
+    /** Returns the pool settings that the arbiter was created with. */
     public PoolSettings pool() {
         return pool;
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/EntryState.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/EntryState.java
@@ -4,19 +4,19 @@
 import java.util.TreeMap;
 import org.marjoramswitch.kernel.model.CustomerId;
 
-/** What an arbiter knows of one entry: the requests that it offers and the ones it has in flight. */
+/** Holds an arbiter's state of one entry: the requests that it offers and those that it has in flight. */
 final class EntryState {
-    private final Map<CustomerId, Offered> offers = new TreeMap<>();
+    private final Map<CustomerId, CustomerOffer> offers = new TreeMap<>();
     private final Map<Long, GrantedRequest> granted = new TreeMap<>();
     private final long incarnation;
     private boolean connected = true;
-    private int unheardGrants;
+    private int unacknowledgedGrants;
 
     EntryState(long incarnation) {
         this.incarnation = incarnation;
     }
 
-    Map<CustomerId, Offered> offers() {
+    Map<CustomerId, CustomerOffer> offers() {
         return offers;
     }
 
@@ -36,29 +36,29 @@
         connected = isConnected;
     }
 
-    /** Grants sent since anything was last heard from the entry. */
-    int unheardGrants() {
-        return unheardGrants;
+    /** Grants sent since the last message from the entry. */
+    int unacknowledgedGrants() {
+        return unacknowledgedGrants;
     }
 
     void granted(long sequence, GrantedRequest request) {
         granted.put(sequence, request);
-        unheardGrants++;
+        unacknowledgedGrants++;
     }
 
-    void heard() {
-        unheardGrants = 0;
+    void messageReceived() {
+        unacknowledgedGrants = 0;
     }
 
-    /** Requests of one customer that wait at the entry. */
-    static final class Offered {
+    /** One customer's requests that wait at the entry. */
+    static final class CustomerOffer {
         private int waiting;
         private int urgency;
         private long lastGrant;
 
-        /** @param joinedAt the next sequence when the offer came, so that it queues behind those already there */
-        Offered(long joinedAt) {
-            this.lastGrant = joinedAt;
+        /** @param nextSequence the arbiter's next grant sequence, which places the offer behind the existing ones */
+        CustomerOffer(long nextSequence) {
+            this.lastGrant = nextSequence;
         }
 
         int waiting() {
@@ -73,11 +73,11 @@
             return urgency;
         }
 
-        void urgency(int mostUrgent) {
-            urgency = mostUrgent;
+        void urgency(int newUrgency) {
+            urgency = newUrgency;
         }
 
-        /** The sequence of the last grant made from this offer, or of its coming; the least is next. */
+        /** Sequence of the last grant made for this offer, initially the next one at its creation; the least is next. */
         long lastGrant() {
             return lastGrant;
         }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/GrantedRequest.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/GrantedRequest.java
@@ -3,7 +3,7 @@
 import org.marjoramswitch.kernel.model.CustomerId;
 import org.marjoramswitch.kernel.model.TargetId;
 
-/** A request in flight as the arbiter accounts for it. */
+/** Records the charge and the cost estimate of a granted request in flight. */
 final class GrantedRequest {
     private final CustomerId customer;
     private final TargetId target;
@@ -29,7 +29,7 @@
         return estimateTokens;
     }
 
-    /** Sets the charge and returns by how much it changed. */
+    /** Sets the total charge and returns the change in tokens. */
     double recharge(double tokens) {
         double change = tokens - chargedTokens;
         chargedTokens = tokens;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/package-info.java
@@ -1,4 +1,4 @@
-/** Granting a cell's slots. */
+/** Grants the slots of a cell's targets. */
 @NullMarked
 package org.marjoramswitch.kernel.arbiter;
 
