--- a/kernel/src/main/java/org/marjoramswitch/kernel/fair/CustomerAccount.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/fair/CustomerAccount.java
@@ -2,9 +2,9 @@
 
 import org.marjoramswitch.kernel.model.CustomerId;
 
-/** One customer's account in {@link FairShares}. */
+/** Tracks one customer's virtual service counter, cost estimate and backlog; see {@link FairShares}. */
 public final class CustomerAccount {
-    /** Share of the newest request in the running estimate of a customer's cost. */
+    /** Weight of the latest request in the moving average of a customer's cost. */
     private static final double ESTIMATE_GAIN = 0.1;
 
     private final CustomerId customer;
@@ -25,12 +25,12 @@
         return customer;
     }
 
-    /** The virtual counter: tokens charged, divided by the weight, plus lifts. */
+    /** The virtual counter: tokens charged, divided by the weight, plus increases to the floor. */
     public double counter() {
         return counter;
     }
 
-    /** Tokens charged here, not counting what other cells charged. */
+    /** Tokens charged by this cell, without those charged by other cells. */
     public double chargedTokens() {
         return chargedTokens;
     }
@@ -69,15 +69,15 @@
         counter += tokens / weight;
     }
 
-    void raiseTo(double least) {
-        counter = Math.max(counter, least);
+    void raiseTo(double minimum) {
+        counter = Math.max(counter, minimum);
     }
 
-    void placeAt(double position) {
-        counter = position;
+    void setCounter(double newCounter) {
+        counter = newCounter;
     }
 
-    /** Whether the position came from an earlier arbiter, so that the next backlog does not lift it. */
+    /** Whether the counter was restored from an earlier arbiter and is not raised at the next backlog. */
     boolean adopted() {
         return adopted;
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/fair/FairShares.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/fair/FairShares.java
@@ -10,51 +10,51 @@
 import org.marjoramswitch.kernel.model.CustomerId;
 
 /**
- * Decides which customer is served next, by virtual counters.
+ * Selects the customer to serve next by virtual service counters.
  *
- * <p>Each customer has a counter: the tokens charged to it, divided by its weight. The backlogged customer with the
- * least counter is served next. This is the published Virtual Token Counter scheduler (Sheng et al., "Fairness in
- * Serving Large Language Models", OSDI 2024) with a different charge: a running request is charged what it has
- * delivered plus the rest that is expected of it, see {@link #expectedCostTokens}.
+ * <p>A customer's counter is the tokens charged to it, divided by its weight. The backlogged customer with the least
+ * counter is served next. This is the Virtual Token Counter scheduler (Sheng et al., "Fairness in Serving Large
+ * Language Models", OSDI 2024) with a different charge: a running request is charged the tokens that it has delivered
+ * plus its expected remaining cost, see {@link #expectedCostTokens}.
  *
- * <p>A customer that becomes backlogged is raised to the least counter of those that already are, less a credit:
- * {@value #CREDIT_ESTIMATES} requests of the pool's initial estimate, unless {@link #credit} says otherwise. So idling
- * earns at most the credit, and a newcomer waits for nobody's past. The credit lets a small burst through together:
- * without it, k requests of a light customer were served one for one with a flooding customer's. A counter is never
- * lowered, so a customer that uses its share gains nothing by pausing. Example: A has been served 10,000 tokens while
- * alone and stays backlogged; B arrives with counter 0 and is raised to 9,000 with estimates of 200; it is served alone
- * for 1,000 tokens and from then on both alike.
+ * <p>Credit: a customer that becomes backlogged is raised to the floor less a credit, by default
+ * {@value #CREDIT_ESTIMATES} requests of the pool's initial estimate, see {@link #credit}. Idling therefore earns at
+ * most the credit, and a new customer does not wait for service that others received earlier. The credit lets a small
+ * burst through: without it, the requests of a light customer alternate one for one with those of a flooding customer.
+ * A counter is never lowered, so a customer that uses its share gains nothing by pausing. Example, with an initial
+ * estimate of 200: A has been served 10,000 tokens while alone and stays backlogged. B arrives with counter 0 and is
+ * raised to 9,000. B is served alone for 1,000 tokens, then both are served equally.
  *
- * <p>The floor to raise to is the highest that the least backlogged counter has ever been. With the present least, each
- * newcomer would be raised to its predecessor's place less the credit: a stream of newcomers would sink ever deeper and
- * starve a customer that was there before them.
+ * <p>Floor: the floor is the maximum that the least backlogged counter has ever reached. With the current least counter
+ * instead, each new customer would start one credit below the previous one, and a stream of new customers would starve
+ * a customer that was backlogged before them.
  *
- * <p>The bound on the gap. Let two customers of weight 1 be backlogged over an interval at one arbiter. A customer is
- * granted a slot only while its counter is the least, so at any grant the counters of the two differ by at most what
- * one grant, the later corrections of charges and the credit can add. A charge is corrected by the end of its request by at most
- * E = max(cost, estimate) tokens. With S slots, at most S requests are in flight, but corrections steer the next
- * grants, so what can add up unnoticed is the error of the requests that one customer has in flight at once. With s
- * slots in that customer's hands the counters' gap is at most (s + 1) E, and delivered service differs from a counter
- * by the expected rest, at most s E on either side: the gap in delivered tokens is at most (3 s + 1) E and the
- * credit, with s at most S. This is the worst case, in which every running request of one customer ends at the largest cost and every one of
- * the other's at nothing; docs/MEASUREMENTS.md has the gap that was measured. With several cells, add what the other
- * cells charge between two exchanges: the pool's tokens a second times the age of the counters.
+ * <p>Gap bound: let two customers of weight 1 be backlogged over an interval at one arbiter. A customer is granted a
+ * slot only while its counter is the least, so at any grant the two counters differ by at most one grant, the later
+ * corrections of charges and the credit. The end of a request corrects its charge by at most E = max(cost, estimate)
+ * tokens. With S slots, at most S requests are in flight, but corrections steer the next grants, so only the errors of
+ * the requests that one customer has in flight at the same time can accumulate. If that customer holds s slots, the gap
+ * between the counters is at most (s + 1) E. Delivered service differs from a counter by the expected remaining cost,
+ * at most s E on either side, so the gap in delivered tokens is at most (3 s + 1) E plus the credit, with s at most S.
+ * In this worst case, every running request of one customer ends at the maximum cost and every one of the other at
+ * zero; docs/MEASUREMENTS.md has measured gaps. With several cells, add the tokens that the other cells charge between
+ * two exchanges: the pool's tokens per second times the age of the counters.
  *
- * <p>Nobody starves: a backlogged customer's counter stands still while it is not served, and every grant to another
- * raises that one's, so after finitely many grants it is the least. Its wait is at most the time that the pool takes
- * to serve the gap's bound to each other backlogged customer.
+ * <p>Starvation: a backlogged customer's counter does not change while it is not served, and every grant raises the
+ * counter of the customer served, so after finitely many grants the waiting customer has the least counter. Its wait is
+ * at most the time in which the pool serves the gap bound to every other backlogged customer.
  *
- * <p>Cost: a change of backlog or counter is logarithmic in the backlogged customers, the choice is the first of a
- * sorted set. Not thread-safe.
+ * <p>Cost: a change of backlog or counter is logarithmic in the backlogged customers; the choice is the first element
+ * of a sorted set. Not thread-safe.
  */
 public final class FairShares {
     private static final double DEFAULT_WEIGHT = 1.0;
     private static final int CREDIT_ESTIMATES = 5;
-    /** The expected rest of a running request is never below this share of its customer's running estimate. */
-    private static final double LEAST_REST = 0.5;
+    /** Minimum expected remaining cost of a running request, as a share of its customer's cost estimate. */
+    private static final double MIN_REMAINING_SHARE = 0.5;
 
     private final Map<CustomerId, CustomerAccount> accounts = new TreeMap<>();
-    /** Of equal counters the one charged less goes first: a newcomer lifted to a flooding customer's counter. */
+    /** Ties go to the customer charged less, such as a new one raised to the counter of a flooding customer. */
     private final TreeSet<CustomerAccount> backlogged =
             new TreeSet<>(Comparator.comparingDouble(CustomerAccount::counter)
                     .thenComparingDouble(CustomerAccount::chargedTokens)
@@ -72,54 +72,54 @@
         this.creditTokens = CREDIT_ESTIMATES * initialEstimateTokens;
     }
 
-    /** @param weights a customer's weight, above 0; asked when the customer becomes backlogged */
+    /** @param weights returns a customer's weight, above 0; read each time the customer becomes backlogged */
     public static FairShares create(ToDoubleFunction<CustomerId> weights, double initialEstimateTokens) {
         return new FairShares(weights, initialEstimateTokens);
     }
 
     /**
-     * What a request is charged while it runs: what it delivered, plus the rest of the estimate, but never less than
-     * half of the estimate as the rest. A request of estimate 200 that has delivered 190 is charged 290, not 200: that
-     * it has come this far shows that it may well be a long one.
+     * Returns the charge of a running request: the tokens delivered plus the remaining estimate, which is at least half
+     * of the estimate. A request with estimate 200 that has delivered 190 tokens is charged 290, not 200, since a request
+     * that gets this far is likely to be long.
      */
     public static double expectedCostTokens(double deliveredTokens, double estimateTokens) {
-        return deliveredTokens + Math.max(LEAST_REST * estimateTokens, estimateTokens - deliveredTokens);
+        return deliveredTokens + Math.max(MIN_REMAINING_SHARE * estimateTokens, estimateTokens - deliveredTokens);
     }
 
     /**
-     * The bound on the gap in delivered tokens of two customers of weight 1 backlogged at one arbiter, as the class
-     * comment derives it.
+     * Returns the bound on the gap in delivered tokens between two customers of weight 1 that are backlogged at one
+     * arbiter, see the class comment.
      *
-     * @param slotsHeld the most slots in one customer's hands
-     * @param largestCostTokens the largest cost or estimate of a request
-     * @param initialEstimateTokens the pool's, which the credit is counted in
+     * @param slotsHeld maximum slots held by one customer
+     * @param largestCostTokens maximum cost or estimate of a request
+     * @param initialEstimateTokens the pool's initial estimate, the unit of the credit
      */
     public static double gapBoundTokens(int slotsHeld, double largestCostTokens, double initialEstimateTokens) {
         return (3.0 * slotsHeld + 1) * largestCostTokens + CREDIT_ESTIMATES * initialEstimateTokens;
     }
 
     public CustomerAccount account(CustomerId customer) {
-        return accounts.computeIfAbsent(customer, this::open);
+        return accounts.computeIfAbsent(customer, this::createAccount);
     }
 
     public Iterable<CustomerAccount> accounts() {
         return accounts.values();
     }
 
-    /** The highest that the least counter of the backlogged customers has been. */
+    /** Returns the maximum that the least counter of the backlogged customers has reached. */
     public double floor() {
         return floor;
     }
 
     /**
-     * How far below the floor a customer may be that becomes backlogged from now on. Where the work of a few seconds is
-     * known, an even share of it serves light customers better than a handful of first estimates.
+     * Sets how far below the floor a customer may start that becomes backlogged from now on. If the work of a few seconds
+     * is known, an even share of it serves light customers better than the default of a few initial estimates.
      */
     public void credit(double tokens) {
         creditTokens = tokens;
     }
 
-    /** Sets how many of a customer's requests wait; a customer that becomes backlogged is raised to the floor less the credit. */
+    /** Sets the number of a customer's waiting requests; one that becomes backlogged is raised to the floor less the credit. */
     public void waiting(CustomerId customer, int requests) {
         CustomerAccount account = account(customer);
         if (requests == account.waiting()) {
@@ -133,7 +133,7 @@
         if (wasBacklogged) {
             backlogged.remove(account);
             account.waiting(requests);
-            noteFloor();
+            updateFloor();
             return;
         }
         account.weight(weightOf(customer));
@@ -142,15 +142,15 @@
         }
         account.waiting(requests);
         backlogged.add(account);
-        noteFloor();
+        updateFloor();
     }
 
-    /** The backlogged customer to be served next. */
+    /** Returns the backlogged customer to serve next, null if none is backlogged. */
     public @Nullable CustomerAccount least() {
         return backlogged.isEmpty() ? null : backlogged.first();
     }
 
-    /** The one after {@link #least}, for the log. */
+    /** Returns the customer after {@link #least}, null if there is none; for the decision log. */
     public @Nullable CustomerAccount runnerUp() {
         Iterator<CustomerAccount> inOrder = backlogged.iterator();
         if (!inOrder.hasNext()) {
@@ -160,46 +160,46 @@
         return inOrder.hasNext() ? inOrder.next() : null;
     }
 
-    /** The backlogged customers, the one to be served next first. */
+    /** Returns the backlogged customers in the order of their counters, the one to serve next first. */
     public Iterable<CustomerAccount> backloggedInOrder() {
         return backlogged;
     }
 
-    /** Charges tokens served here; negative to take back what was charged too much. */
+    /** Charges tokens granted by this cell; a negative number corrects an earlier charge. */
     public void charge(CustomerId customer, double tokens) {
         CustomerAccount account = account(customer);
         reorder(account, () -> account.chargeHere(tokens));
     }
 
-    /** Counts tokens that another cell of the pool charged. */
+    /** Adds tokens that another cell of the pool charged. */
     public void chargeElsewhere(CustomerId customer, double tokens) {
         CustomerAccount account = account(customer);
         reorder(account, () -> account.chargeElsewhere(tokens));
     }
 
-    /** How far a customer is ahead of the floor; what an entry keeps for the next arbiter. */
+    /** Returns a customer's lead over the floor in tokens, which entries keep for the next arbiter. */
     public double lead(CustomerId customer) {
         return account(customer).counter() - floor();
     }
 
     /**
-     * Takes a standing from an earlier arbiter. Until {@link #endAdoption} standings count from a fixed origin and are
-     * not lifted: with the floor as the origin, each customer's place would depend on the order of registrations, and a
-     * lift would take from the customer that was owed most. Later ones count from the floor. Of several reports for one
-     * customer the highest holds, since counters of waiting customers do not fall.
+     * Restores a customer's lead under an earlier arbiter. Until {@link #endAdoption}, leads are relative to a fixed
+     * origin and the counters are not raised to the floor: relative to the floor, each counter would depend on the order
+     * of registrations, and raising it would penalise the customer that is owed most service. Later leads are relative to
+     * the floor. Of several reports for one customer the highest applies, since counters of waiting customers do not fall.
      */
     public void adopt(CustomerId customer, double aheadTokens) {
         CustomerAccount account = account(customer);
-        double position = adopting ? aheadTokens : floor() + aheadTokens;
+        double counter = adopting ? aheadTokens : floor() + aheadTokens;
         if (account.adopted() || !adopting) {
-            reorder(account, () -> account.raiseTo(position));
+            reorder(account, () -> account.raiseTo(counter));
             return;
         }
         account.adopted(true);
-        reorder(account, () -> account.placeAt(position));
+        reorder(account, () -> account.setCounter(counter));
     }
 
-    /** The first grant is near: from now on a customer that becomes backlogged is lifted to the floor. */
+    /** Ends the adoption of leads before the first grant; from now on a customer that becomes backlogged is raised. */
     public void endAdoption() {
         if (!adopting) {
             return;
@@ -208,12 +208,12 @@
         accounts.values().forEach(account -> account.adopted(false));
     }
 
-    /** A request of the customer ended at this cost. */
+    /** Updates the customer's cost estimate with the cost of an ended request. */
     public void updateEstimate(CustomerId customer, double costTokens) {
         account(customer).updateEstimate(costTokens);
     }
 
-    private CustomerAccount open(CustomerId customer) {
+    private CustomerAccount createAccount(CustomerId customer) {
         return new CustomerAccount(customer, weightOf(customer), initialEstimateTokens);
     }
 
@@ -222,18 +222,18 @@
         return weight > 0 ? weight : DEFAULT_WEIGHT;
     }
 
-    private void noteFloor() {
+    private void updateFloor() {
         if (!backlogged.isEmpty()) {
             floor = Math.max(floor, backlogged.first().counter());
         }
     }
 
     private void reorder(CustomerAccount account, Runnable change) {
-        boolean sorted = backlogged.remove(account);
+        boolean wasBacklogged = backlogged.remove(account);
         change.run();
-        if (sorted) {
+        if (wasBacklogged) {
             backlogged.add(account);
-            noteFloor();
+            updateFloor();
         }
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/fair/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/fair/package-info.java
@@ -1,4 +1,4 @@
-/** Fair shares: virtual counters per customer. */
+/** Fair queueing between customers by virtual service counters. */
 @NullMarked
 package org.marjoramswitch.kernel.fair;
 
