--- a/kernel/src/main/java/org/marjoramswitch/kernel/capacity/OutlierEjection.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/capacity/OutlierEjection.java
@@ -1,19 +1,19 @@
 package org.marjoramswitch.kernel.capacity;
 
 /**
- * Keeps work from a target that keeps failing, and probes it back in.
+ * Ejects a target after consecutive faults and re-admits it through probes.
  *
- * <p>After {@value #FAULTS_TO_EJECT} faults in a row the target gets nothing for a while that doubles with every
- * ejection, from {@value #BASE_EJECTION_MS} ms to {@value #MAX_EJECTION_MS} ms; then one request at a time as a probe,
- * until one succeeds. Without it the fastest target is the one that fails at once: it frees its slots soonest and
- * draws the whole queue through itself.
+ * <p>After {@value #FAULTS_TO_EJECT} consecutive faults the target receives no requests for a period that doubles with
+ * every ejection, from {@value #BASE_EJECTION_MS} ms to {@value #MAX_EJECTION_MS} ms. After that it receives one request
+ * at a time as a probe until one succeeds. Without ejection, a target that fails requests immediately frees its slots
+ * first and attracts the whole queue.
  */
 public final class OutlierEjection {
     private static final int FAULTS_TO_EJECT = 3;
     private static final long BASE_EJECTION_MS = 1_000;
     private static final long MAX_EJECTION_MS = 30_000;
 
-    private int faultsInRow;
+    private int consecutiveFaults;
     private int ejections;
     private long ejectedUntilMs;
     private boolean probing;
@@ -24,17 +24,17 @@
         return new OutlierEjection();
     }
 
-    /** A request ended well. */
+    /** Records a successful request, which ends any ejection. */
     public void succeeded() {
-        faultsInRow = 0;
+        consecutiveFaults = 0;
         ejections = 0;
         probing = false;
     }
 
-    /** A request ended by the target's fault. */
+    /** Records a request that failed through the target's fault. */
     public void failed(long nowMs) {
-        faultsInRow++;
-        if (!probing && faultsInRow < FAULTS_TO_EJECT) {
+        consecutiveFaults++;
+        if (!probing && consecutiveFaults < FAULTS_TO_EJECT) {
             return;
         }
         if (nowMs < ejectedUntilMs) {
@@ -46,7 +46,7 @@
         probing = true;
     }
 
-    /** How many of {@code free} slots may be granted now. */
+    /** Returns how many of {@code free} slots may be granted now. */
     public int allowed(int free, int inFlight, long nowMs) {
         if (!probing) {
             return free;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/capacity/RetryBudget.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/capacity/RetryBudget.java
@@ -1,14 +1,14 @@
 package org.marjoramswitch.kernel.capacity;
 
 /**
- * Limits retries of a pool to a share of its successes, so that a failing pool is not given a multiple of its load.
- * Starts with {@value #INITIAL} retries in hand, keeps at most {@value #MOST}.
+ * Limits a pool's retries to a share of its successes, so that retries do not multiply the load of a failing pool.
+ * Starts with {@value #INITIAL_RETRIES} retries and accumulates at most {@value #MAX_RETRIES}.
  */
 public final class RetryBudget {
-    private static final double INITIAL = 10;
-    private static final double MOST = 50;
+    private static final double INITIAL_RETRIES = 10;
+    private static final double MAX_RETRIES = 50;
 
-    private double retries = INITIAL;
+    private double retries = INITIAL_RETRIES;
 
     private RetryBudget() {}
 
@@ -18,10 +18,10 @@
 
     /** @param share retries allowed per success */
     public void succeeded(double share) {
-        retries = Math.min(MOST, retries + share);
+        retries = Math.min(MAX_RETRIES, retries + share);
     }
 
-    /** Takes one retry; false where none is left. */
+    /** Takes one retry from the budget; false if none is left. */
     public boolean take() {
         if (retries < 1) {
             return false;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/capacity/TargetSlots.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/capacity/TargetSlots.java
@@ -5,21 +5,20 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * How many more requests a target may be given.
+ * Computes how many more requests a target may be granted.
  *
- * <p>The requests that this arbiter knows to be in flight come first; they are exact and current. A report of the
- * target lags, so it corrects only for load that is not this arbiter's: what the target reports beyond the most that
- * this arbiter had in flight lately was given by another arbiter, on the other side of a partition or before a change
- * of duty. Example: 16 slots, 10 in flight, never above 12 in the last seconds, the report says 15: 3 are foreign, so
- * 3 are free.
+ * <p>The arbiter's own count of requests in flight is exact and current. The target's load report lags, so it is used
+ * only to detect foreign load, which another arbiter granted on the other side of a partition or before a change of
+ * arbiter: the reported requests beyond the maximum that this arbiter recently had in flight. Example: 16 slots, 10 in
+ * flight, at most 12 in the last seconds, 15 reported: 3 are foreign, so 3 slots are free.
  *
- * <p>Foreign load never takes the last slot: two arbiters that each saw only the other's load would otherwise both
- * wait for good.
+ * <p>Edge cases: foreign load never takes the last slot. Otherwise two arbiters that each see only the other's load
+ * would both wait forever.
  */
 public final class TargetSlots {
-    /** A report is believed this long after it was taken. */
+    /** Age above which a load report is ignored. */
     private static final long REPORT_VALID_MS = 3_000;
-    /** The most in flight is remembered for one to two of these. */
+    /** The maximum in flight covers the last one to two windows. */
     private static final long PEAK_WINDOW_MS = 2_000;
 
     private final OutlierEjection health = OutlierEjection.create();
@@ -75,33 +74,33 @@
     }
 
     /**
-     * Takes a report. What of it is foreign is judged now: requests that this arbiter starts later are not in it, and
-     * taking them for a part of it would hide just as much foreign load.
+     * Records a load report. Foreign load is computed here and not in {@link #free}, since the report does not include
+     * requests that this arbiter starts later; subtracting those would hide as much foreign load.
      */
     public void reported(LoadReport newReport, long nowMs) {
         rollPeak(nowMs);
-        int ownAtMost = Math.max(inFlight, Math.max(peak, previousPeak));
+        int maxOwn = Math.max(inFlight, Math.max(peak, previousPeak));
         report = newReport;
-        reportedForeign = Math.max(0, newReport.running() + newReport.queued() - ownAtMost);
+        reportedForeign = Math.max(0, newReport.running() + newReport.queued() - maxOwn);
     }
 
-    /** The slots of the target: as it reports, else as the settings say. */
+    /** Returns the target's reported batch size, or the slots of its settings if it reports none. */
     public int slots() {
         LoadReport known = report;
         return known != null && known.maxBatch() > 0 ? known.maxBatch() : settings.slots();
     }
 
-    /** How many requests may be granted now, {@code ahead} of the slots included. */
-    public int free(int ahead, long nowMs) {
+    /** Returns how many requests may be granted now, with up to {@code admitAhead} beyond the slots. */
+    public int free(int admitAhead, long nowMs) {
         if (leaving) {
             return 0;
         }
-        int free = Math.max(0, slots() + ahead - foreign(nowMs) - inFlight);
-        int withLast = inFlight == 0 ? Math.max(1, free) : free;
-        return health.allowed(withLast, inFlight, nowMs);
+        int free = Math.max(0, slots() + admitAhead - foreign(nowMs) - inFlight);
+        int grantable = inFlight == 0 ? Math.max(1, free) : free;
+        return health.allowed(grantable, inFlight, nowMs);
     }
 
-    /** Requests at the target that this arbiter did not grant, as far as the last report shows. */
+    /** Returns the requests at the target that this arbiter did not grant, by the last valid report. */
     public int foreign(long nowMs) {
         LoadReport known = report;
         if (known == null || nowMs - known.measuredAtMs() > REPORT_VALID_MS) {
@@ -110,7 +109,7 @@
         return reportedForeign;
     }
 
-    /** The share of the slots in use, the measure by which free targets are compared. */
+    /** Returns the share of the slots in use, by which free targets are compared. */
     public double load() {
         return (double) inFlight / Math.max(1, slots());
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/capacity/WindowedRetryBudget.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/capacity/WindowedRetryBudget.java
@@ -4,18 +4,21 @@
 import java.util.Deque;
 
 /**
- * Limits second sends of a pool's requests in every window of time, over the whole fleet: each instance allows itself a
- * share of its own requests and its part of a fixed slack. Shares of own requests add up to the share of all; the slack
- * is divided by the instances that are there, and half of each part is kept back for instances that are not known yet.
+ * Limits the retries of a pool's requests per time window across the whole fleet. Each instance allows itself a share
+ * of its own requests plus its part of a fixed slack. The shares of the instances add up to the share of all requests.
+ * The slack is divided by the number of known instances, and half of each part is reserved for instances that are not
+ * known yet.
  *
- * <p>Only a part of what the requests allow is used, since an instance that ends takes the requests that it has counted
- * with it, and the one that takes over its callers begins with none.
+ * <p>Only {@value #USED_SHARE} of the share is used, since the request count of an instance that exits is lost, and the
+ * instance that takes over its callers starts at zero.
  */
 public final class WindowedRetryBudget {
-    /** Of the fleet's share, what instances use: one that stops takes its counted requests with it. */
+    /** Part of the share that is used; the rest covers the lost request counts of instances that exit. */
     private static final double USED_SHARE = 0.7;
 
+    /** Part of the slack that is used; the rest is reserved for instances that are not known yet. */
     private static final double USED_SLACK = 0.5;
+
     private static final int BUCKETS = 20;
 
     private final Deque<Bucket> buckets = new ArrayDeque<>();
@@ -27,22 +30,22 @@
     }
 
     /**
-     * What the fleet may send a second time.
+     * Limits for the retries of the whole fleet.
      *
-     * @param windowMs any span of this length is bounded
-     * @param share of the requests in the window
-     * @param slack in each window beside the share
+     * @param windowMs length of the sliding window
+     * @param share retries allowed per request in the window
+     * @param slack retries allowed per window in addition to the share
      */
     public record Limits(long windowMs, double share, double slack) {
         public static final Limits DEFAULT = new Limits(10_000, 0.1, 20);
     }
 
-    /** A request came. */
+    /** Counts a request. */
     public void requested(Limits limits, long nowMs) {
         bucket(limits, nowMs).requests++;
     }
 
-    /** Takes one second send; false where the budget is spent. */
+    /** Takes one retry from the budget; false if none is left. */
     public boolean take(Limits limits, int instances, long nowMs) {
         Bucket newest = bucket(limits, nowMs);
         int requests = 0;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/capacity/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/capacity/package-info.java
@@ -1,4 +1,4 @@
-/** How much a target may be given, and which targets are failing. */
+/** Slot accounting of targets, retry budgets and the ejection of failing targets. */
 @NullMarked
 package org.marjoramswitch.kernel.capacity;
 
