--- a/kernel/src/main/java/org/marjoramswitch/kernel/cell/CellMap.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/cell/CellMap.java
@@ -14,12 +14,11 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * Which targets form which cell, from one generation of settings alone.
+ * Maps targets to cells, as a function of one generation of settings.
  *
- * <p>A pool's targets in the order of their names are dealt in turn to as few cells as the pool's cell size allows: 8
- * targets and a cell size of 3 give cells of 3, 3 and 2. Dealing keeps cells within one target of each other in size;
- * a target that comes or goes moves others between cells, which costs re-registrations only, and settings change
- * seldom.
+ * <p>A pool's targets, in the order of their names, are assigned round-robin to as few cells as the pool's cell size
+ * allows: 8 targets and a cell size of 3 give cells of 3, 3 and 2. Cell sizes therefore differ by at most one target. A
+ * target that is added or removed moves others between cells, which costs only re-registrations; settings rarely change.
  */
 public final class CellMap {
     private final Map<PoolId, List<CellId>> cellsByPool = new TreeMap<>();
@@ -34,17 +33,17 @@
             List<TargetSettings> targets = settings.targets().values().stream()
                     .filter(target -> target.pool().equals(pool.id()))
                     .toList();
-            map.deal(pool, targets);
+            map.assignRoundRobin(pool, targets);
         }
         return map;
     }
 
-    /** The pool's cells; empty for a pool without targets or an unknown one. */
+    /** Returns the pool's cells; empty if the pool has no targets or is unknown. */
     public List<CellId> cells(PoolId pool) {
         return cellsByPool.getOrDefault(pool, List.of());
     }
 
-    /** Every cell of every pool, in order. */
+    /** Returns the cells of all pools, in order. */
     public List<CellId> cells() {
         return List.copyOf(targetsByCell.keySet());
     }
@@ -57,7 +56,7 @@
         return cellByTarget.get(target);
     }
 
-    private void deal(PoolSettings pool, List<TargetSettings> targets) {
+    private void assignRoundRobin(PoolSettings pool, List<TargetSettings> targets) {
         int count = (targets.size() + pool.cellTargets() - 1) / pool.cellTargets();
         List<CellId> cells = new ArrayList<>();
         for (int index = 0; index < count; index++) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/cell/ProcessorTier.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/cell/ProcessorTier.java
@@ -10,14 +10,14 @@
 import org.marjoramswitch.kernel.model.Member;
 
 /**
- * The eligible instances with the most processor: all that have at least half of the largest one's.
+ * The eligible instances that have at least half the processor of the largest one.
  *
- * <p>Instances that have not announced their processor count as the smallest, and as equal to one another.
+ * <p>Instances that have not announced their processor count as the smallest and as equal to each other.
  */
 final class ProcessorTier {
-    private static final int LEAST_MILLICORES = 1;
-    /** Members of the tier have at least the largest processor divided by this. */
-    private static final int DIVISOR = 2;
+    private static final int MIN_MILLICORES = 1;
+    /** Members of the tier have at least the largest processor divided by this number. */
+    private static final int TIER_DIVISOR = 2;
 
     private final Map<InstanceId, Integer> millicoresById;
     private final Set<InstanceId> instances = new TreeSet<>();
@@ -25,9 +25,9 @@
 
     private ProcessorTier(Map<InstanceId, Integer> millicoresById) {
         this.millicoresById = millicoresById;
-        int largest = millicoresById.isEmpty() ? LEAST_MILLICORES : Collections.max(millicoresById.values());
+        int largest = millicoresById.isEmpty() ? MIN_MILLICORES : Collections.max(millicoresById.values());
         millicoresById.forEach((instance, millicores) -> {
-            if (DIVISOR * millicores >= largest) {
+            if (TIER_DIVISOR * millicores >= largest) {
                 instances.add(instance);
             }
         });
@@ -35,18 +35,18 @@
                 millicoresById.values().stream().mapToLong(Integer::longValue).sum();
     }
 
-    /** Instances that leave the fleet are not eligible. */
+    /** Creates the tier of a view; draining instances are not eligible. */
     static ProcessorTier of(FleetView view) {
         Map<InstanceId, Integer> millicoresById = new TreeMap<>();
         for (Member member : view.members().values()) {
             if (!member.leaving()) {
-                millicoresById.put(member.id(), Math.max(LEAST_MILLICORES, member.processorMillicores()));
+                millicoresById.put(member.id(), Math.max(MIN_MILLICORES, member.processorMillicores()));
             }
         }
         return new ProcessorTier(millicoresById);
     }
 
-    /** All eligible instances, those below the tier included. */
+    /** Returns all eligible instances, including those below the tier. */
     Set<InstanceId> eligible() {
         return millicoresById.keySet();
     }
@@ -55,9 +55,9 @@
         return instances.contains(instance);
     }
 
-    /** Of so many duties, those that are an instance's by its processor, rounded up. */
-    long quota(InstanceId instance, int duties) {
-        return (duties * millicores(instance) + totalMillicores - 1) / totalMillicores;
+    /** Returns an instance's share of {@code cells} in proportion to its processor, rounded up. */
+    long quota(InstanceId instance, int cells) {
+        return (cells * millicores(instance) + totalMillicores - 1) / totalMillicores;
     }
 
     private long millicores(InstanceId instance) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/cell/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/cell/package-info.java
@@ -1,4 +1,4 @@
-/** Which targets form a cell and which instance is its arbiter. */
+/** Assigns targets to cells and arbiters to cells. */
 @NullMarked
 package org.marjoramswitch.kernel.cell;
 
