--- a/kernel/src/test/java/org/marjoramswitch/kernel/ArbiterFailoverTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/ArbiterFailoverTest.java
@@ -26,7 +26,7 @@
 import org.marjoramswitch.kernel.model.Usage;
 import org.marjoramswitch.kernel.settings.FleetSettings;
 
-/** Three kernels whose messages arrive at once, but for those of a paused one. */
+/** Tests the change of arbiter with three kernels whose messages arrive immediately unless one of them is paused. */
 class ArbiterFailoverTest {
     private static final CellId CELL = CellId.of(RandomFleet.POOL, 0);
     private static final FleetSettings SETTINGS = RandomFleet.settings(1, 1);
@@ -37,7 +37,7 @@
     private final Map<InstanceId, InstanceKernel> kernels = new TreeMap<>();
     private final List<Action.Dispatch> dispatched = new ArrayList<>();
     private final List<Runnable> heldBack = new ArrayList<>();
-    private final Deque<Runnable> underway = new ArrayDeque<>();
+    private final Deque<Runnable> inTransit = new ArrayDeque<>();
     private boolean delivering;
     private InstanceId paused = InstanceId.of("none");
     private long nowMs = 1_000;
@@ -51,40 +51,41 @@
             apply(id, new Event.SettingsAccepted(SETTINGS));
             apply(id, new Event.ViewChanged(FleetView.of(MEMBERS)));
         }
-        pass(500);
+        advance(500);
     }
 
     @Test
-    void aPausedArbiterIsLeftByItsEntriesBeforeTheViewsChange() {
-        // The arbiter's process is paused: its links stay up and nothing comes back. The caller's request waits for a
-        // grant beside free slots. After 400 ms of silence the entry registers with the next instance in the cell's
-        // rank, which grants after its registration window; no membership change is needed.
+    void entriesLeaveAPausedArbiterBeforeTheViewChanges() {
+        // The arbiter's process is paused: its links stay up, but it sends nothing, so the request waits although slots
+        // are free. After 400 ms of silence the entry registers with the next instance in the cell's rank, which grants
+        // after its registration window, without a membership change.
         InstanceId arbiter = arbiter();
         InstanceId entry = otherThan(arbiter);
         paused = arbiter;
         arrive(entry);
 
-        pass(350);
+        advance(350);
         assertEquals(0, dispatched.size());
-        pass(600);
+        advance(600);
 
         assertEquals(1, dispatched.size());
         assertNotEquals(arbiter, kernel(entry).arbiterOf(CELL));
     }
 
     @Test
-    void anArbiterThatResumesIsTakenBackAndItsOldGrantsAreDeclined() {
-        // The paused arbiter resumes with a backlog of messages and grants from its old books. The entry has left it,
-        // so those grants are declined; then the entry hears it and registers with it again. Nothing runs twice.
+    void resumedArbiterIsUsedAgainAndItsOldGrantsAreDeclined() {
+        // The paused arbiter resumes with a backlog of messages and grants from outdated state. The entry declines
+        // those
+        // grants, since it has left the arbiter, and then registers with it again. Nothing runs twice.
         InstanceId arbiter = arbiter();
         InstanceId entry = otherThan(arbiter);
         paused = arbiter;
         arrive(entry);
-        pass(1_000);
+        advance(1_000);
         assertEquals(1, dispatched.size());
 
         resume();
-        pass(1_000);
+        advance(1_000);
 
         assertEquals(arbiter, kernel(entry).arbiterOf(CELL));
         assertEquals(1, dispatched.size());
@@ -92,68 +93,68 @@
         for (int i = 0; i < SLOTS; i++) {
             arrive(entry);
         }
-        pass(1_000);
+        advance(1_000);
         assertEquals(1 + SLOTS, dispatched.size());
     }
 
     @Test
-    void aSilentArbiterIsNotProbedWhileNothingWaits() {
+    void silentArbiterIsNotProbedWhileNoRequestWaits() {
         InstanceId arbiter = arbiter();
         InstanceId entry = otherThan(arbiter);
         paused = arbiter;
         heldBack.clear();
 
-        pass(5_000);
+        advance(5_000);
 
-        assertTrue(heldBack.isEmpty(), "messages to an arbiter that nobody waits for");
+        assertTrue(heldBack.isEmpty(), "messages to an arbiter while no request waits");
         assertEquals(arbiter, kernel(entry).arbiterOf(CELL));
     }
 
     @Test
-    void twoArbitersInAPartitionServeBothSidesAndHealToOne() {
-        // The arbiter and one other instance lose each other. Each side's entries are granted by an arbiter of their
-        // own, so callers of both are served; over-admission is bounded by each side's slots. After healing the first
-        // arbiter counts what the other side has in flight and grants nothing beyond the slots.
+    void partitionHasTwoArbitersAndHealsToOne() {
+        // A partition separates the arbiter from one other instance. Each side has its own arbiter, so callers on both
+        // sides are served and over-admission is bounded by each side's slots. After the partition heals, the first
+        // arbiter counts the requests in flight on the other side and grants nothing beyond the slots.
         InstanceId arbiter = arbiter();
         InstanceId entry = otherThan(arbiter);
         paused = arbiter;
         for (int i = 0; i < 5; i++) {
             arrive(entry);
         }
-        pass(1_000);
+        advance(1_000);
         assertEquals(SLOTS, dispatched.size());
         resume();
-        pass(1_000);
+        advance(1_000);
         for (int i = 0; i < 5; i++) {
             arrive(arbiter);
         }
-        pass(1_000);
+        advance(1_000);
 
         assertEquals(SLOTS, dispatched.size());
         end(entry, 1);
-        pass(100);
+        advance(100);
         assertEquals(SLOTS + 1, dispatched.size());
     }
 
     @Test
-    void aPausedEntryIsGrantedNoMoreAndIsServedAgainWhenItResumes() {
-        // An entry is paused with requests waiting. Its grants start nothing; without notice the arbiter would go on
-        // giving slots to its offers, and another entry's callers would wait beside slots that stay empty. After
-        // 400 ms of silence its offers are withdrawn; when it is heard again it is told to register.
+    void pausedEntryIsNotGrantedUntilItResumes() {
+        // An entry is paused with requests waiting, so grants to it start nothing. If the arbiter kept granting its
+        // offers, requests of other entries would wait while slots stay empty. After 400 ms of silence the entry's
+        // offers are withdrawn; once it sends a message again, the arbiter asks it to register.
         InstanceId arbiter = arbiter();
         InstanceId entry = otherThan(arbiter);
         for (int i = 0; i < 8; i++) {
             arrive(entry);
         }
-        pass(100);
+        advance(100);
         assertEquals(SLOTS, dispatched.size());
 
         paused = entry;
-        pass(1_000);
+        advance(1_000);
         resume();
         for (long request = 1; request <= 8; request++) {
             end(entry, request);
-            pass(200);
+            advance(200);
         }
 
         assertEquals(8, dispatched.size());
@@ -194,7 +195,7 @@
         apply(entry, new Event.TargetEnded(requestId, TargetOutcome.COMPLETED, Usage.of(10, 0, 100, 50)));
     }
 
-    private void pass(long durationMs) {
+    private void advance(long durationMs) {
         for (long untilMs = nowMs + durationMs; nowMs < untilMs; nowMs += TICK_MS) {
             List.copyOf(kernels.keySet()).forEach(id -> apply(id, new Event.Tick()));
         }
@@ -202,7 +203,7 @@
 
     private void resume() {
         paused = InstanceId.of("none");
-        underway.addAll(heldBack);
+        inTransit.addAll(heldBack);
         heldBack.clear();
         deliver();
     }
@@ -219,20 +220,20 @@
                 dispatched.add(dispatch);
             } else if (action instanceof Action.SendPeer send) {
                 PeerMessage message = send.message();
-                underway.add(() -> apply(send.to(), new Event.PeerReceived(id, 1, message)));
+                inTransit.add(() -> apply(send.to(), new Event.PeerReceived(id, 1, message)));
             }
         }
         deliver();
     }
 
-    /** Messages arrive in the order in which they were sent, as they do on a link. */
+    /** Delivers messages in the order in which they were sent, as a link does. */
     private void deliver() {
         if (delivering) {
             return;
         }
         delivering = true;
-        while (!underway.isEmpty()) {
-            underway.remove().run();
+        while (!inTransit.isEmpty()) {
+            inTransit.remove().run();
         }
         delivering = false;
     }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/ArbiterProcessorTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/ArbiterProcessorTest.java
@@ -20,7 +20,7 @@
     private static final double EVENT_CORE_MS = 0.11;
     private static final double REQUESTS_PER_SECOND = 1_400;
 
-    /** Guards against an arbiter on an instance with too little processor, which starves its whole pool beside idle targets. */
+    /** Guards against an arbiter with too little processor, which starves its whole pool while targets idle. */
     @ParameterizedTest
     @ValueSource(strings = {"pool-0", "pool-1", "pool-2", "pool-3", "pool-4", "pool-5"})
     void arbiterHasEnoughProcessorForItsPool(String pool) {
@@ -33,7 +33,7 @@
         assertTrue(fleet.inTimeShare() >= 0.95, fleet::toString);
     }
 
-    /** Guards against a pool that collapses when its arbiter becomes slow, with callers held until their deadlines. */
+    /** Guards against a collapse of the pool when its arbiter becomes slow and callers wait until their deadlines. */
     @Test
     void slowArbiterIsReplaced() {
         ProcessorBoundFleet fleet =
--- a/kernel/src/test/java/org/marjoramswitch/kernel/InvariantsTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/InvariantsTest.java
@@ -8,15 +8,16 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * The invariants under random orders of arrivals, deliveries, ends, faults, cut links, restarts, wrong views and
- * leaving targets. {@link RandomFleet} checks at every step: one attempt at a time, at most one execution of a request
- * that may not be repeated, no "not run" for one that may have run, one end per request, nothing to a leaving target.
+ * Tests the invariants under random sequences of arrivals, deliveries, ends, faults, cut links, restarts, wrong views
+ * and draining targets. {@link RandomFleet} checks at every step: at most one attempt of a request at a time, at most one
+ * execution of a non-repeatable request, no "not run" for a request that may have run, exactly one end per request, and
+ * no dispatch to a draining target.
  */
 class InvariantsTest {
     private static final int STEPS = 3_000;
 
     @Property(tries = 60, seed = "20261202")
-    void everyRequestEndsOnceAndTruthfully(
+    void everyRequestEndsOnceWithACorrectRunState(
             @ForAll int seed,
             @ForAll @IntRange(min = 1, max = 5) int instances,
             @ForAll @IntRange(min = 1, max = 4) int cellTargets) {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/PlacementFleet.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/PlacementFleet.java
@@ -32,8 +32,8 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * Three kernels that place requests, in virtual time: what one tells another arrives at once, but at a frozen one, and
- * what they start is noted.
+ * Base of tests with three kernels that place requests in virtual time. Messages arrive immediately, except at frozen
+ * kernels. Dispatched, cancelled and ended requests are recorded.
  */
 abstract class PlacementFleet {
     static final PoolId POOL = PoolId.of("pool");
@@ -76,7 +76,7 @@
                 InstanceKernel.create(member, KernelOptions.defaults().withResendLimits(RESENDS)));
     }
 
-    /** The instance's process ends and starts anew, with nothing of before; the others hear of both. */
+    /** Restarts the instance's process without its state and notifies the others of its exit and its start. */
     void restart(InstanceId id, String... targetNames) {
         loseLink(id);
         wire.clear();
--- a/kernel/src/test/java/org/marjoramswitch/kernel/PlacementFleetTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/PlacementFleetTest.java
@@ -17,10 +17,10 @@
 import org.marjoramswitch.kernel.model.TargetId;
 import org.marjoramswitch.kernel.model.TargetOutcome;
 
-/** Placed requests in a fleet of three kernels: attempts, retries and changes of the arbiter. */
+/** Tests attempts, retries and changes of the arbiter of placed requests in a fleet of three kernels. */
 class PlacementFleetTest extends PlacementFleet {
     @Test
-    void aRequestIsStartedOnceAtATarget() {
+    void requestIsDispatchedOnce() {
         long request = arrive(true, 2, false);
         assertEquals(1, dispatched.size());
         end(request, TargetOutcome.COMPLETED);
@@ -28,11 +28,11 @@
     }
 
     /**
-     * The caller waits some tenths of a second longer. The arbiter stands still with the request in its queue; the next
-     * one in rank is asked, and when the first wakes and answers too, its answer is given back.
+     * Guards against a second start of a request. The arbiter freezes with the request in its queue, so the entry asks
+     * the next instance in rank. When the first arbiter resumes, its placement is returned unused.
      */
     @Test
-    void aFrozenArbiterIsLeftAndItsLateAnswerStartsNothing() {
+    void latePlacementOfAFrozenArbiterStartsNothing() {
         frozen.add(arbiter);
         long request = arrive(true, 2, false);
         assertEquals(0, dispatched.size());
@@ -45,9 +45,9 @@
         assertTrue(ends.get(request) instanceof Action.Complete);
     }
 
-    /** A new arbiter knows what the entries have at the targets: it gives out no slot twice. */
+    /** Guards against granting a slot twice: entries report their running requests to a new arbiter. */
     @Test
-    void aNewArbiterIsToldOfRunningRequests() {
+    void newArbiterCountsRunningRequests() {
         for (int i = 0; i < 2 * SLOTS; i++) {
             arrive(true, 2, false);
         }
@@ -60,9 +60,9 @@
         assertEquals(2 * SLOTS + 1, dispatched.size());
     }
 
-    /** Guards against slots that stay taken at an arbiter whose requests ended while another one stood in for it. */
+    /** Guards against slots that stay taken at an arbiter whose requests ended while another one replaced it. */
     @Test
-    void slotsAreFreeAgainAtAnArbiterThatWasSilentForAMoment() {
+    void slotsAreFreedAtAnArbiterThatWasSilent() {
         for (int i = 0; i < 2 * SLOTS; i++) {
             arrive(true, 2, false);
         }
@@ -81,9 +81,9 @@
         assertEquals(4 * SLOTS, dispatched.size());
     }
 
-    /** Guards against an arbiter that is passed over because this instance was paused itself. */
+    /** Guards against leaving a working arbiter because the entry itself was paused. */
     @Test
-    void anEntryThatWasPausedKeepsItsArbiter() {
+    void pausedEntryKeepsItsArbiter() {
         InstanceId third = INSTANCES.stream()
                 .filter(id -> !id.equals(arbiter) && !id.equals(entry))
                 .findFirst()
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void aRepeatableRequestGoesToAnotherTarget() {
+    void repeatableRequestIsRetriedAtAnotherTarget() {
         long request = arrive(true, 2, false);
         end(request, TargetOutcome.BROKEN_BEFORE_ANSWER);
         assertEquals(2, dispatched.size());
@@ -112,9 +112,9 @@
         assertEquals(RunState.UNKNOWN, failure(request).failure().run());
     }
 
-    /** The caller is told that nothing is known: the target may have executed what must not be executed twice. */
+    /** Guards against a second execution: the target may have run the request, so the run state is unknown. */
     @Test
-    void aRequestThatMayRunOnceIsNotSentAgain() {
+    void nonRepeatableRequestIsNotRetried() {
         long request = arrive(false, 1, false);
         end(request, TargetOutcome.BROKEN_BEFORE_ANSWER);
         assertEquals(1, dispatched.size());
@@ -122,14 +122,14 @@
     }
 
     @Test
-    void aRequestThatWasRefusedByATargetIsSentAgainWhateverItsKind() {
+    void refusedRequestIsRetriedEvenIfNotRepeatable() {
         long request = arrive(false, 1, false);
         end(request, TargetOutcome.REFUSED);
         assertEquals(2, dispatched.size());
     }
 
     @Test
-    void aBrokenStreamGoesOnOnlyWhereItMayBeResumed() {
+    void brokenStreamContinuesOnlyIfResumable() {
         long resumable = arrive(true, 2, true);
         end(resumable, TargetOutcome.BROKEN_IN_ANSWER);
         assertEquals(2, dispatched.size());
@@ -139,15 +139,15 @@
     }
 
     @Test
-    void theErrorOfATargetIsTheAnswerWhereTheRequestMayNotBeRepeated() {
+    void targetErrorIsTheResponseOfANonRepeatableRequest() {
         long request = arrive(false, 1, false);
         end(request, TargetOutcome.SERVER_ERROR);
         assertTrue(ends.get(request) instanceof Action.Complete);
     }
 
-    /** The caller's time is over: it is answered at once, and the target works for it no longer. */
+    /** Guards against work past the deadline: the caller receives a failure and the attempt is cancelled. */
     @Test
-    void aRunningRequestEndsWithItsTime() {
+    void runningRequestEndsAtItsDeadline() {
         long request = arrive(true, 2, false);
         pass(PATIENCE_MS + 20);
         assertEquals(ErrorType.REQUEST_TIMEOUT, failure(request).failure().type());
@@ -160,16 +160,16 @@
     }
 
     @Test
-    void aRequestWithoutAnyTargetIsRefusedAtOnce() {
+    void requestWithoutTargetsIsRejectedImmediately() {
         targets();
         long request = arrive(true, 2, false);
         assertEquals(RunState.NOT_RUN, failure(request).failure().run());
         assertTrue(failure(request).failure().retryAfterMs() > 0);
     }
 
-    /** A leaving target gets nothing, though the arbiter has not heard yet that it leaves. */
+    /** Guards against a dispatch to a draining target that the arbiter does not know to be draining. */
     @Test
-    void anEntryStartsNothingAtATargetThatItKnowsToLeave() {
+    void entryDispatchesNothingToADrainingTarget() {
         tell(entry, new Event.SettingsAccepted(settings("t2")));
         for (int i = 0; i < SLOTS; i++) {
             arrive(true, 2, false);
@@ -180,11 +180,11 @@
     }
 
     /**
-     * Callers are sent to no target that has said itself that it leaves, from no instance that asks the same arbiter, though
-     * the list does not know and is read again. When it has started again under its name it is used.
+     * Guards against dispatches to a target that has announced its shutdown itself, from any entry of the same arbiter,
+     * while the target list does not show it and is read again. The target is used again once it has restarted.
      */
     @Test
-    void aTargetsWordThatItLeavesHoldsUntilItStartsAgain() {
+    void announcedShutdownHoldsUntilTheTargetRestarts() {
         tell(entry, new Event.TargetSaidLeaving(TargetId.of("t1"), 0));
         INSTANCES.forEach(id -> tell(id, new Event.TargetsLeaving(Set.of())));
         targets("t1", "t2");
@@ -200,9 +200,9 @@
         assertEquals(2 * SLOTS, dispatched.size());
     }
 
-    /** A target that wants nothing for a while gets nothing. When its rest is over, what waits goes there at once. */
+    /** A target in backoff receives nothing. When the backoff has elapsed, waiting requests go there immediately. */
     @Test
-    void aRestingTargetIsLeftAloneAndUsedAgainAfterwards() {
+    void targetInBackoffIsUsedAgainAfterwards() {
         tell(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 200));
         for (int i = 0; i < 2 * SLOTS; i++) {
             arrive(true, 2, false);
@@ -214,9 +214,9 @@
         assertEquals(2 * SLOTS, dispatched.size());
     }
 
-    /** The instance that was not asked for rest goes on to use the target. */
+    /** An instance that the target did not ask to back off continues to use it. */
     @Test
-    void aTargetRestsFromOneInstanceAlone() {
+    void backoffAppliesToOneInstanceOnly() {
         tell(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 60_000));
         entry = arbiter;
         for (int i = 0; i < 2 * SLOTS; i++) {
@@ -225,9 +225,9 @@
         assertEquals(2 * SLOTS, dispatched.size());
     }
 
-    /** A placement that was on its way when the target asked for rest is given back, and the request goes elsewhere. */
+    /** A placement in transit when the target's backoff starts is returned, and the request goes to another target. */
     @Test
-    void aPlacementAtATargetThatRestsByNowIsGivenBack() {
+    void placementAtATargetInBackoffIsReturned() {
         arriveAndBePlacedAtT1(
                 TargetId.of("t1"), () -> tell(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 60_000)));
         pass(100);
@@ -235,9 +235,9 @@
         assertEquals(TargetId.of("t2"), dispatched.get(0).target());
     }
 
-    /** Callers hear at once when to come back: no target wants their request, so waiting here is of no use to them. */
+    /** With all targets in backoff, callers are rejected immediately with the time to retry, since waiting is useless. */
     @Test
-    void whereAllTargetsRestARequestIsRefusedAtOnce() {
+    void requestIsRejectedWhileAllTargetsAreInBackoff() {
         tell(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 2_000));
         tell(entry, new Event.TargetAskedForRest(TargetId.of("t2"), 3_000));
         long request = arrive(true, 2, false);
@@ -247,12 +247,13 @@
     }
 
     /**
-     * The caller hears at once when to come back. Of two targets one rests, and the arbiter knows already that the other has
-     * left: it has nothing but the resting one to offer, and offered it again each time that it was given back.
+     * Guards against an endless loop of placements. One of two targets is in backoff and the arbiter knows that the other
+     * is gone, so it places the request at the target in backoff again each time the entry returns the placement. The
+     * caller must receive the time to retry immediately.
      */
     @Test
     @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-    void aRestingTargetIsNotAskedForOverAndOver() {
+    void targetInBackoffIsNotPlacedRepeatedly() {
         tell(arbiter, new Event.SettingsAccepted(settings("t1")));
         tell(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 2_000));
         long request = arrive(true, 2, false);
@@ -261,9 +262,9 @@
         assertEquals(0, dispatched.size());
     }
 
-    /** A request whose only other target failed it before goes there again, and not to the one that rests. */
+    /** A request is retried at the target that failed it if the only other target is in backoff. */
     @Test
-    void aRestingTargetIsNotTheLastResort() {
+    void failedTargetIsPreferredToOneInBackoff() {
         long request = arrive(true, 3, true);
         TargetId failed = dispatched.get(0).target();
         TargetId resting = TargetId.of(failed.equals(TargetId.of("t1")) ? "t2" : "t1");
@@ -274,32 +275,32 @@
         assertEquals(failed, dispatched.get(1).target());
     }
 
-    /** With every target failing, second sends stay within the fleet's budget: a share of the requests and a slack. */
+    /** With all targets failing, retries stay within the fleet's budget: a share of the requests plus a slack. */
     @Test
-    void secondSendsStayWithinTheBudget() {
-        int asked = 200;
-        for (int i = 0; i < asked; i++) {
+    void retriesStayWithinTheBudget() {
+        int count = 200;
+        for (int i = 0; i < count; i++) {
             long request = arrive(true, 2, false);
             pass(20);
             while (!ends.containsKey(request) && isRunning(request)) {
                 end(request, TargetOutcome.BROKEN_BEFORE_ANSWER);
             }
         }
-        int resent = dispatched.size()
+        int retried = dispatched.size()
                 - (int) dispatched.stream()
                         .mapToLong(Action.Dispatch::requestId)
                         .distinct()
                         .count();
-        double bound = RESENDS.share() * asked + RESENDS.slack();
-        assertTrue(resent > 0 && resent <= bound, "sent again: " + resent + ", bound " + bound);
+        double bound = RESENDS.share() * count + RESENDS.slack();
+        assertTrue(retried > 0 && retried <= bound, "retries: " + retried + ", bound " + bound);
     }
 
     /**
-     * The request runs at its target, which reads the prompt itself. The arbiter has not heard yet that the target which
-     * keeps the prompt is gone; its address may be another service's by now.
+     * Guards against fetching cached prompt parts from a target that is gone, whose address may belong to another service
+     * by now. The arbiter does not know yet that the target is gone; the assigned target prefills the prompt itself.
      */
     @Test
-    void nothingIsFetchedFromATargetThatTheEntryKnowsToBeGone() {
+    void nothingIsFetchedFromATargetThatIsGone() {
         arriveAndBePlacedAtT1(TargetId.of("gone"));
         assertEquals(1, dispatched.size());
         assertEquals(TargetId.of("t1"), dispatched.get(0).target());
@@ -307,17 +308,17 @@
     }
 
     @Test
-    void theEntryPassesOnWhereToFetchFrom() {
+    void entryForwardsTheTargetToFetchFrom() {
         arriveAndBePlacedAtT1(TargetId.of("t2"));
         assertEquals(TargetId.of("t2"), dispatched.get(0).fetchFrom());
     }
 
-    /** A request whose placement the test gives in the arbiter's name. */
+    /** Sends a request whose placement the test injects as a message from the arbiter. */
     private void arriveAndBePlacedAtT1(TargetId fetchFrom) {
         arriveAndBePlacedAtT1(fetchFrom, () -> {});
     }
 
-    /** @param meanwhile between the question and its answer */
+    /** @param meanwhile runs between the placement request and its response */
     private void arriveAndBePlacedAtT1(TargetId fetchFrom, Runnable meanwhile) {
         frozen.add(arbiter);
         arrive(true, 2, false);
--- a/kernel/src/test/java/org/marjoramswitch/kernel/ProcessorBoundFleet.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/ProcessorBoundFleet.java
@@ -27,17 +27,17 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * A fleet of kernels in virtual time in which each event costs its instance processor time: an instance works off its
- * events in order of arrival, at the speed of its processor. Targets answer each request after a fixed time.
+ * Simulates a fleet of kernels in virtual time in which each event costs processor time. An instance processes its events
+ * in order of arrival, at the speed of its processor. Targets complete each request after a fixed time.
  */
 final class ProcessorBoundFleet {
     private static final DataCentreId DATA_CENTRE = DataCentreId.of("dc");
     private static final int SLOTS = 24;
-    private static final double WAY_MS = 1.5;
+    private static final double LINK_LATENCY_MS = 1.5;
     private static final double FIRST_BYTE_MS = 60;
-    private static final double ANSWER_MS = 800;
+    private static final double RESPONSE_MS = 800;
     private static final long OBJECTIVE_MS = 520;
-    private static final long PATIENCE_MS = 12_000;
+    private static final long CALLER_TIMEOUT_MS = 12_000;
     private static final double MILLICORES_PER_CORE = 1_000;
     private static final int PROMPT_TOKENS = 200;
     private static final int OUTPUT_TOKENS = 50;
@@ -62,7 +62,7 @@
         this.random = new Random(seed);
     }
 
-    /** @param eventCoreMs what an event costs on a whole core */
+    /** @param eventCoreMs processor time of an event on a full core */
     static ProcessorBoundFleet of(PoolId pool, List<Integer> processorMillicores, double eventCoreMs, long seed) {
         ProcessorBoundFleet fleet = new ProcessorBoundFleet(pool, eventCoreMs, seed);
         List<Member> members = new ArrayList<>();
@@ -92,7 +92,7 @@
         entries.forEach(id -> arrive(id, new Event.SettingsAccepted(all)));
     }
 
-    /** Requests of one customer at entries drawn at random. */
+    /** Schedules requests of one customer with exponential interarrival times at randomly selected entries. */
     void load(CustomerId customer, double perSecond, double fromMs, double untilMs) {
         for (double atMs = fromMs; atMs < untilMs; atMs -= Math.log(1 - random.nextDouble()) * 1_000 / perSecond) {
             at(atMs, () -> request(entries.get(random.nextInt(entries.size())), customer));
@@ -116,12 +116,12 @@
                         PROMPT_TOKENS,
                         OUTPUT_TOKENS,
                         0,
-                        now + PATIENCE_MS,
+                        now + CALLER_TIMEOUT_MS,
                         placement,
                         0)));
     }
 
-    /** The pool's arbiter has only a part of its processor for a while; callers use the other instances. */
+    /** Divides the processor of the pool's arbiter for a time; callers use only the other instances. */
     void slowArbiter(int divisor, double fromMs, double untilMs) {
         at(fromMs, () -> {
             InstanceId id = server(entries.get(0)).kernel.arbiterOf(CellId.of(pool, 0));
@@ -146,15 +146,15 @@
 
     private void receive(InstanceId id, Event.PeerReceived received) {
         double arrivedMs = nowMs;
-        workOff(id, () -> apply(id, received.delayed(Math.round(nowMs - arrivedMs))));
+        enqueue(id, () -> apply(id, received.delayed(Math.round(nowMs - arrivedMs))));
     }
 
     private void arrive(InstanceId id, Event event) {
-        workOff(id, () -> apply(id, event));
+        enqueue(id, () -> apply(id, event));
     }
 
-    /** The event is decided on once the instance has worked off what came before it. */
-    private void workOff(InstanceId id, Runnable decision) {
+    /** Schedules the decision for the time when the instance has processed all earlier events. */
+    private void enqueue(InstanceId id, Runnable decision) {
         Server server = server(id);
         server.freeAtMs = Math.max(nowMs, server.freeAtMs) + eventCoreMs * MILLICORES_PER_CORE / server.millicores;
         at(server.freeAtMs, decision);
@@ -166,23 +166,23 @@
 
     private void perform(InstanceId at, Action action) {
         if (action instanceof Action.Dispatch dispatch) {
-            waited(dispatch.requestId());
+            recordWait(dispatch.requestId());
         } else if (action instanceof Action.Fail fail) {
-            waited(fail.requestId());
+            recordWait(fail.requestId());
         }
         if (action instanceof Action.SendPeer send) {
-            at(nowMs + WAY_MS, () -> receive(send.to(), new Event.PeerReceived(at, 1, send.message())));
+            at(nowMs + LINK_LATENCY_MS, () -> receive(send.to(), new Event.PeerReceived(at, 1, send.message())));
         } else if (action instanceof Action.Dispatch dispatch) {
             at(nowMs + FIRST_BYTE_MS, () -> answering(at, dispatch.requestId()));
             at(
-                    nowMs + ANSWER_MS,
+                    nowMs + RESPONSE_MS,
                     () -> arrive(at, new Event.TargetEnded(dispatch.requestId(), TargetOutcome.COMPLETED, Usage.NONE)));
         } else if (action instanceof Action.Fail) {
             failed++;
         }
     }
 
-    private void waited(long request) {
+    private void recordWait(long request) {
         longestWaitMs = Math.max(longestWaitMs, nowMs - arrivedAtMs.getOrDefault(request, nowMs));
     }
 
@@ -193,12 +193,12 @@
         arrive(entry, new Event.TargetAnswering(request));
     }
 
-    /** Of all requests, the share whose first byte came within the objective. */
+    /** Returns the share of requests whose first byte arrived within the latency objective. */
     double inTimeShare() {
         return (double) inTime / requests;
     }
 
-    /** The longest that a request waited until it was started or refused. */
+    /** Returns the longest time from the arrival of a request until it was dispatched or rejected. */
     double longestWaitMs() {
         return longestWaitMs;
     }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/RandomFleet.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/RandomFleet.java
@@ -32,8 +32,8 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * Some kernels joined by ordered queues in place of links, and targets that end attempts when told to. Every step is
- * chosen by one seeded random source; the invariants are checked as the actions come.
+ * Simulates kernels that are connected by ordered queues instead of links, with targets whose attempts end on command. A
+ * seeded random source selects every step. The invariants are checked on every action.
  */
 final class RandomFleet {
     static final PoolId POOL = PoolId.of("pool");
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Lets everything come to rest: full views, all targets back, every attempt ended well. */
+    /** Runs until no request is open, with complete views, no draining targets and successful attempts. */
     void settle() {
         leaving.clear();
         kernels.forEach((id, kernel) -> apply(id, new Event.TargetsLeaving(Set.of())));
@@ -258,9 +258,9 @@
 
     private void loseFromView() {
         Set<InstanceId> lost = new HashSet<>(Set.of(randomInstance()));
-        InstanceId watcher = randomInstance();
-        if (!lost.contains(watcher)) {
-            apply(watcher, new Event.ViewChanged(view(lost)));
+        InstanceId observer = randomInstance();
+        if (!lost.contains(observer)) {
+            apply(observer, new Event.ViewChanged(view(lost)));
         }
     }
 
@@ -269,10 +269,10 @@
         if (kernel == null) {
             throw new IllegalStateException("no kernel " + id);
         }
-        kernel.apply(event, nowMs).forEach(action -> carryOut(id, action));
+        kernel.apply(event, nowMs).forEach(action -> perform(id, action));
     }
 
-    private void carryOut(InstanceId id, Action action) {
+    private void perform(InstanceId id, Action action) {
         if (action instanceof Action.SendPeer send) {
             links.computeIfAbsent(new Link(id, send.to()), missing -> new ArrayDeque<>())
                     .add(send.message());
@@ -301,7 +301,9 @@
     private void failed(RequestKey key, Failure failure) {
         end(key);
         boolean ran = mayHaveRun.getOrDefault(key, 0) > 0;
-        require(failure.run() == RunState.UNKNOWN || !ran, "not-run said of one that ran: " + key + " " + failure);
+        require(
+                failure.run() == RunState.UNKNOWN || !ran,
+                "run state not-run for a request that may have run: " + key + " " + failure);
     }
 
     private void cancelled(RequestKey key) {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/TickPaceTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/TickPaceTest.java
@@ -20,7 +20,7 @@
 import org.marjoramswitch.kernel.settings.PoolSettings;
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
-/** The kernel wants the time often only while a request waits for a target; an instance that idles costs little. */
+/** Guards against short tick intervals on an instance without waiting requests, which cost processor time. */
 class TickPaceTest {
     private static final PoolId POOL = PoolId.of("pool");
     private static final DataCentreId DATA_CENTRE = DataCentreId.of("dc");
@@ -29,7 +29,7 @@
             InstanceKernel.create(Member.of(InstanceId.of("entry-1"), 1, DATA_CENTRE, false));
 
     @Test
-    void onlyWaitingRequestsNeedTheTimeOften() {
+    void tickIntervalIsShortOnlyWhileARequestWaits() {
         TargetId target = TargetId.of("t1");
         kernel.apply(
                 new Event.SettingsAccepted(FleetSettings.of(
--- a/kernel/src/test/java/org/marjoramswitch/kernel/arbiter/ArbiterTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/arbiter/ArbiterTest.java
@@ -48,8 +48,8 @@
 
     @Test
     void collectsRegistrationsBeforeTheFirstGrant() {
-        // A new arbiter hears of waiting requests at once, of those in flight elsewhere a moment later. Granting at
-        // once would fill slots that are taken; callers would see engines slow down at every change of arbiter.
+        // Guards against grants for occupied slots: a new arbiter learns of requests in flight at other entries only
+        // through their registrations, so an immediate grant would overload engines at every change of arbiter.
         register(E1, offer(A, 5));
 
         assertEquals(List.of(), grants(OPEN_AT_MS - 1));
@@ -59,9 +59,9 @@
     }
 
     @Test
-    void aReRegistrationKeepsGrantsThatAreUnderWay() {
-        // The entry registers anew while grant 2 is on its way. Forgetting it would free a slot that is about to be
-        // used; counting it twice would leave the slot empty for good.
+    void reRegistrationKeepsGrantsInTransit() {
+        // The entry re-registers while grant 2 is in transit. Dropping the grant would free a slot that is about to be
+        // used; counting it twice would leave the slot empty forever.
         register(E1, offer(A, 2));
         assertEquals(2, grants(NOW_MS).size());
 
@@ -73,8 +73,8 @@
     }
 
     @Test
-    void aGrantToAnEarlierIncarnationIsForgotten() {
-        // The entry restarts empty: what was granted to it before never starts, so its slots are free again.
+    void grantToAnEarlierIncarnationIsDropped() {
+        // The entry restarts without state: earlier grants to it never start, so their slots are free again.
         register(E1, offer(A, 2));
         assertEquals(2, grants(NOW_MS).size());
 
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aDeclinedGrantIsRefunded() {
+    void declinedGrantIsRefunded() {
         register(E1, offer(A, 1), offer(B, 1));
         List<PeerMessage.Grant> first = grants(NOW_MS);
         assertEquals(2, first.size());
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void nothingGoesToALeavingTarget() {
+    void drainingTargetIsNotGranted() {
         arbiter.targets(List.of(target(T1)), Set.of(T1));
         register(E1, offer(A, 3));
 
@@ -104,9 +104,9 @@
     }
 
     @Test
-    void aFailingTargetIsEjectedAndProbedBackIn() {
-        // The target fails each request at once. Without ejection it frees its slots soonest and draws the whole
-        // queue through itself: every caller would see a failure while the other targets work.
+    void failingTargetIsEjectedAndReadmittedByAProbe() {
+        // The target fails every request immediately. Without ejection it frees its slots first and attracts the whole
+        // queue, so every request would fail although the other targets work.
         register(E1, offer(A, 16));
         for (int i = 0; i < 3; i++) {
             grants(NOW_MS).forEach(grant -> arbiter.ended(E1, grant.sequence(), 0, true, NOW_MS));
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void offersBehindABrokenLinkAreNotGranted() {
+    void offersOfADisconnectedEntryAreNotGranted() {
         register(E1, offer(A, 3));
         arbiter.disconnected(E1);
 
@@ -130,8 +130,8 @@
     }
 
     @Test
-    void foreignLoadLeavesOnlyTheRest() {
-        // A second arbiter serves the same target from the other side of a partition; its load shows in the report.
+    void slotsTakenByForeignLoadAreNotGranted() {
+        // A second arbiter grants the same target's slots across a partition; only the load report shows its requests.
         register(E1, offer(A, 3));
         arbiter.reported(T1, LoadReport.of(NOW_MS, 1, 0, SLOTS), NOW_MS);
 
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void chargesOfAnotherCellCount() {
+    void chargesOfAnotherCellAreCounted() {
         register(E1, offer(A, 16), offer(B, 16));
         arbiter.charges(new PeerMessage.Charges(CellId.of(POOL, 1), Map.of(A, 900L), 0));
 
@@ -164,10 +164,9 @@
     }
 
     @Test
-    void chargesOfATimeWithoutBacklogAreNotTold() {
-        // A light customer is served here for long, never with a backlog when charges are told. Told of in one lump
-        // when
-        // it once has one, it would be held back at the other cells for seconds.
+    void chargesWithoutBacklogAreNotSent() {
+        // A light customer is served here for a long time without a backlog whenever charges are sent. Sent in one
+        // message at its first backlog, the accumulated charges would delay it at the other cells for seconds.
         register(E1, offer(A, 1));
         PeerMessage.Grant grant = grants(NOW_MS).get(0);
         assertNull(arbiter.chargesToSend(NOW_MS));
@@ -177,9 +176,9 @@
         assertNull(arbiter.chargesToSend(NOW_MS + 250));
         grants(NOW_MS + 250);
 
-        PeerMessage.Charges told = arbiter.chargesToSend(NOW_MS + 500);
-        assertNotNull(told);
-        assertTrue(told.chargedTokens().get(A) < 5_000, told::toString);
+        PeerMessage.Charges charges = arbiter.chargesToSend(NOW_MS + 500);
+        assertNotNull(charges);
+        assertTrue(charges.chargedTokens().get(A) < 5_000, charges::toString);
     }
 
     private static TargetSettings target(TargetId id) {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/cell/ArbiterAssignmentTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/cell/ArbiterAssignmentTest.java
@@ -22,7 +22,7 @@
 class ArbiterAssignmentTest {
     private static final DataCentreId DATA_CENTRE = DataCentreId.of("dc");
 
-    /** Guards against arbiters on small instances while larger ones are free. */
+    /** Guards against arbiters on small instances while larger ones have none. */
     @Test
     void largeInstancesAreArbitersFirst() {
         FleetView view = view(360, 52, 1_500, 8);
@@ -30,7 +30,7 @@
         cells(8).forEach(cell -> assertEquals(1_500, processorOf(view, assignment.arbiter(cell))));
     }
 
-    /** Guards against a second arbiter on a small instance when the first one is lost. */
+    /** Guards against a fallback arbiter on a small instance when the assigned one is unreachable. */
     @Test
     void lostArbiterIsReplacedByAnotherLargeInstance() {
         FleetView view = view(360, 52, 1_500, 8);
@@ -39,7 +39,7 @@
         assertEquals(1_500, processorOf(view, assignment.reachable(cells(1).get(0), Set.of(lost))));
     }
 
-    /** Guards against the few large instances taking all cells of a large fleet. */
+    /** Guards against assigning all cells of a large fleet to its few large instances. */
     @Test
     void cellsAreSpreadByProcessor() {
         FleetView view = view(360, 342, 1_500, 8);
@@ -47,7 +47,7 @@
         load.forEach((instance, count) -> assertTrue(count <= (processorOf(view, instance) == 1_500 ? 2 : 1)));
     }
 
-    /** Guards against uneven load among equal instances, whether their processor is known or not. */
+    /** Guards against uneven load among equal instances, with and without an announced processor. */
     @Test
     void equalInstancesHaveEqualLoad() {
         for (int millicores : new int[] {Member.UNKNOWN_PROCESSOR, 1_000}) {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/fair/FairSharesTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/fair/FairSharesTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void idlingEarnsNoCreditAndNobodysPastIsWaitedFor() {
+    void newCustomerStartsAtTheFloorLessTheCredit() {
         FairShares shares = FairShares.create(customer -> 1, ESTIMATE);
         shares.waiting(A, 1_000);
         serve(shares, 100, customer -> 100);
@@ -53,9 +53,9 @@
     }
 
     @Test
-    void aStreamOfNewcomersDoesNotStarveTheOneThatWasThere() {
-        // Customers come one after the other, each with a burst within its credit. Raised to the least counter of the
-        // moment, each would be placed a credit below its predecessor and the first customer would wait for all.
+    void streamOfNewCustomersDoesNotStarveAnEarlierOne() {
+        // Customers arrive one after the other, each with a burst within its credit. If each were raised to the current
+        // least counter, it would start one credit below its predecessor, and the first customer would wait for all.
         FairShares shares = FairShares.create(customer -> 1, ESTIMATE);
         shares.waiting(A, 1_000);
         serve(shares, 100, customer -> 100);
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void pausingGainsNothingBeyondTheOwnShare() {
+    void pausingDoesNotIncreaseTheShare() {
         FairShares shares = FairShares.create(customer -> 1, ESTIMATE);
         shares.waiting(A, 1_000);
         shares.waiting(B, 1_000);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aCustomerServedAloneKeepsTheFloorWhenItsBacklogEnds() {
+    void floorIsKeptWhenTheOnlyBacklogEnds() {
         FairShares shares = FairShares.create(customer -> 1, ESTIMATE);
         shares.waiting(A, 1);
         shares.charge(A, 10_000);
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void expectedRestNeverFallsBelowHalfTheEstimate() {
+    void expectedRemainingCostIsAtLeastHalfTheEstimate() {
         assertEquals(200, FairShares.expectedCostTokens(0, 200));
         assertEquals(200, FairShares.expectedCostTokens(100, 200));
         assertEquals(290, FairShares.expectedCostTokens(190, 200));
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void adoptedStandingIsNotLiftedToTheFloor() {
+    void adoptedLeadIsNotRaisedToTheFloor() {
         FairShares shares = FairShares.create(customer -> 1, ESTIMATE);
         shares.adopt(A, 300);
         shares.waiting(A, 1);
--- a/kernel/src/test/java/org/marjoramswitch/kernel/replay/EventJsonTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/replay/EventJsonTest.java
@@ -26,7 +26,7 @@
 
 class EventJsonTest {
     @Test
-    void everyEventReadsBackAsWritten() throws Exception {
+    void everyEventRoundTrips() throws Exception {
         List<Event> events = new ArrayList<>();
         for (Class<?> type : Event.class.getPermittedSubclasses()) {
             events.add((Event) sample(type));
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void hashesOfApiKeysAreLeftOut() throws Exception {
+    void apiKeyHashesAreOmitted() throws Exception {
         CustomerId id = CustomerId.of("quai-nord");
         CustomerSettings customer = new CustomerSettings(id, "piers", 2, Set.of("c0ffee"), 5);
         Event event = new Event.SettingsAccepted(FleetSettings.of(3, Map.of(id, customer), Map.of(), Map.of()));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aHeaderReadsBackAndAnotherFormatIsRefused() throws Exception {
+    void headerRoundTripsAndAnotherFormatIsRejected() throws Exception {
         Member self = Member.of(InstanceId.of("entry-1"), 9, DataCentreId.of("leith-a"), false);
         RecordingHeader header = RecordingHeader.of(self, KernelOptions.defaults());
         assertEquals(header, EventJson.readHeader(EventJson.write(header)));
@@ -61,7 +61,7 @@
         assertThrows(IOException.class, () -> EventJson.readHeader(other));
     }
 
-    /** A value of any of the kernel's record types, made from its components' types. */
+    /** Creates a sample value of any type that a recorded event contains. */
     private static Object sample(Type type) throws ReflectiveOperationException {
         if (type instanceof ParameterizedType generic) {
             return sampleCollection(generic);
