--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
@@ -12,7 +12,7 @@
 import org.jspecify.annotations.Nullable;
 import org.marjoramswitch.kernel.action.Action;
 import org.marjoramswitch.kernel.action.ActionSink;
-import org.marjoramswitch.kernel.fair.FairAccount;
+import org.marjoramswitch.kernel.fair.CustomerAccount;
 import org.marjoramswitch.kernel.fair.FairShares;
 import org.marjoramswitch.kernel.message.PeerMessage;
 import org.marjoramswitch.kernel.message.PeerMessage.PlacementEnd;
@@ -291,7 +291,7 @@
     private void placeInTime(TargetChoice choice, long nowMs, ActionSink sink) {
         Set<CustomerId> exhausted = new HashSet<>();
         Set<Long> tried = new HashSet<>();
-        FairAccount next = lowestExcept(exhausted);
+        CustomerAccount next = lowestExcept(exhausted);
         while (next != null && choice.hasOpen()) {
             if (!placeNextOf(next.customer(), choice, tried, nowMs, sink)) {
                 exhausted.add(next.customer());
@@ -300,8 +300,8 @@
         }
     }
 
-    private @Nullable FairAccount lowestExcept(Set<CustomerId> exhausted) {
-        for (FairAccount account : shares.inOrder()) {
+    private @Nullable CustomerAccount lowestExcept(Set<CustomerId> exhausted) {
+        for (CustomerAccount account : shares.backloggedInOrder()) {
             if (!exhausted.contains(account.customer())) {
                 return account;
             }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/QueueWaitEstimate.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/QueueWaitEstimate.java
@@ -1,6 +1,6 @@
 package org.marjoramswitch.kernel.placement;
 
-import org.marjoramswitch.kernel.fair.FairAccount;
+import org.marjoramswitch.kernel.fair.CustomerAccount;
 import org.marjoramswitch.kernel.fair.FairShares;
 
 /**
@@ -27,7 +27,7 @@
      */
     static double waitMs(
             WaitingRequest request, WaitingQueues waiting, FairShares shares, double msPerToken, long engines) {
-        FairAccount own = shares.account(request.customer());
+        CustomerAccount own = shares.account(request.customer());
         double aheadCost = 0;
         double aheadPrefillTokens = 0;
         for (WaitingRequest earlier : waiting.of(request.customer()).requests().headSet(request)) {
@@ -35,7 +35,7 @@
             aheadPrefillTokens += earlier.prefillTokens();
         }
         double startCounter = own.counter() + aheadCost / own.weight();
-        for (FairAccount other : shares.inOrder()) {
+        for (CustomerAccount other : shares.backloggedInOrder()) {
             if (other != own) {
                 aheadPrefillTokens += prefillTokensBefore(startCounter, other, waiting.of(other.customer()));
             }
@@ -44,7 +44,7 @@
     }
 
     /** Prefill tokens of a customer's backlog that are served until its counter reaches this value. */
-    private static double prefillTokensBefore(double counter, FairAccount account, CustomerBacklog backlog) {
+    private static double prefillTokensBefore(double counter, CustomerAccount account, CustomerBacklog backlog) {
         double cost = (counter - account.counter()) * account.weight();
         if (cost <= 0 || backlog.costTokens() == 0) {
             return 0;
--- a/kernel/src/test/java/org/marjoramswitch/kernel/fair/FairSharesTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/fair/FairSharesTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void idlingEarnsNoCreditAndNobodysPastIsWaitedFor() {
+    void newCustomerStartsAtTheFloorLessTheCredit() {
         FairShares shares = FairShares.create(customer -> 1, ESTIMATE);
         shares.waiting(A, 1_000);
         serve(shares, 100, customer -> 100);
@@ -53,9 +53,9 @@
     }
 
     @Test
-    void aStreamOfNewcomersDoesNotStarveTheOneThatWasThere() {
-        // Customers come one after the other, each with a burst within its credit. Raised to the least counter of the
-        // moment, each would be placed a credit below its predecessor and the first customer would wait for all.
+    void streamOfNewCustomersDoesNotStarveAnEarlierOne() {
+        // Customers arrive one after the other, each with a burst within its credit. If each were raised to the current
+        // least counter, it would start one credit below its predecessor, and the first customer would wait for all.
         FairShares shares = FairShares.create(customer -> 1, ESTIMATE);
         shares.waiting(A, 1_000);
         serve(shares, 100, customer -> 100);
@@ -63,11 +63,11 @@
             shares.waiting(CustomerId.of("n" + i), 1_000);
         }
 
-        assertEquals(-1_000, shares.ahead(CustomerId.of("n49")), 1e-9);
+        assertEquals(-1_000, shares.lead(CustomerId.of("n49")), 1e-9);
     }
 
     @Test
-    void pausingGainsNothingBeyondTheOwnShare() {
+    void pausingDoesNotIncreaseTheShare() {
         FairShares shares = FairShares.create(customer -> 1, ESTIMATE);
         shares.waiting(A, 1_000);
         shares.waiting(B, 1_000);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aCustomerServedAloneKeepsTheFloorWhenItsBacklogEnds() {
+    void floorIsKeptWhenTheOnlyBacklogEnds() {
         FairShares shares = FairShares.create(customer -> 1, ESTIMATE);
         shares.waiting(A, 1);
         shares.charge(A, 10_000);
@@ -91,12 +91,12 @@
         shares.waiting(B, 1);
         shares.waiting(A, 1);
 
-        assertEquals(0, shares.ahead(A), 1e-9);
-        assertEquals(-CREDIT_GRANTS * 100, shares.ahead(B), 1e-9);
+        assertEquals(0, shares.lead(A), 1e-9);
+        assertEquals(-CREDIT_GRANTS * 100, shares.lead(B), 1e-9);
     }
 
     @Test
-    void expectedRestNeverFallsBelowHalfTheEstimate() {
+    void expectedRemainingCostIsAtLeastHalfTheEstimate() {
         assertEquals(200, FairShares.expectedCostTokens(0, 200));
         assertEquals(200, FairShares.expectedCostTokens(100, 200));
         assertEquals(290, FairShares.expectedCostTokens(190, 200));
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void adoptedStandingIsNotLiftedToTheFloor() {
+    void adoptedLeadIsNotRaisedToTheFloor() {
         FairShares shares = FairShares.create(customer -> 1, ESTIMATE);
         shares.adopt(A, 300);
         shares.waiting(A, 1);
@@ -128,7 +128,7 @@
         }
 
         double sum = 0;
-        for (FairAccount account : shares.accounts()) {
+        for (CustomerAccount account : shares.accounts()) {
             sum += account.chargedTokens();
         }
 
@@ -136,7 +136,7 @@
     }
 
     private static CustomerId next(FairShares shares) {
-        FairAccount least = shares.least();
+        CustomerAccount least = shares.least();
         assertNotNull(least);
         return least.customer();
     }
