--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/SharedWatchStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/SharedWatchStore.java
@@ -66,12 +66,12 @@
 
     /** The instances that are alive. */
     public synchronized void onView(FleetView view) {
-        sharing.view(view, clockMs.getAsLong());
+        sharing.onView(view, clockMs.getAsLong());
     }
 
     /** Takes a peer's message about watches; false for any other. */
     public synchronized boolean onMessage(InstanceId from, PeerMessage message) {
-        return sharing.received(from, message, clockMs.getAsLong(), this::perform);
+        return sharing.onMessage(from, message, clockMs.getAsLong(), this::perform);
     }
 
     @Override
@@ -113,7 +113,7 @@
     private synchronized void unwatch(String prefix, Consumer<WatchEvent> listener) {
         if (listeners.remove(prefix, listener)) {
             stopReading(prefix);
-            sharing.broken(prefix);
+            sharing.onWatchClosed(prefix);
         }
     }
 
@@ -130,7 +130,7 @@
             return;
         }
         try {
-            sharing.tick(clockMs.getAsLong(), this::perform);
+            sharing.onTick(clockMs.getAsLong(), this::perform);
         } catch (RuntimeException fault) {
             // Without ticks this instance would never notice that its readers are gone.
             LOG.error(fault, "shared_watches_tick_failed", "error", ErrorType.INTERNAL.number());
@@ -141,17 +141,17 @@
     private void perform(WatchAction action) {
         if (action instanceof WatchAction.Send send) {
             peers.send(send.to(), send.message());
-        } else if (action instanceof WatchAction.Tell tell) {
-            Consumer<WatchEvent> listener = listeners.get(tell.prefix());
+        } else if (action instanceof WatchAction.Notify notification) {
+            Consumer<WatchEvent> listener = listeners.get(notification.prefix());
             if (listener != null) {
-                listener.accept(event(tell.change()));
+                listener.accept(event(notification.change()));
             }
-        } else if (action instanceof WatchAction.Read read) {
-            LOG.info("watch_own", "prefix", read.prefix(), "afterRevision", read.afterRevision());
-            OwnWatch own = new OwnWatch(read.prefix());
-            ownWatches.put(read.prefix(), own);
-            own.watch = super.watch(read.prefix(), read.afterRevision(), own::onEvent);
-        } else if (action instanceof WatchAction.StopReading stop) {
+        } else if (action instanceof WatchAction.StartWatch start) {
+            LOG.info("watch_own", "prefix", start.prefix(), "afterRevision", start.afterRevision());
+            OwnWatch own = new OwnWatch(start.prefix());
+            ownWatches.put(start.prefix(), own);
+            own.watch = super.watch(start.prefix(), start.afterRevision(), own::onEvent);
+        } else if (action instanceof WatchAction.StopWatch stop) {
             LOG.info("watch_by_peers", "prefix", stop.prefix());
             stopReading(stop.prefix());
         }
@@ -177,14 +177,14 @@
         if (event instanceof WatchEvent.Seen seen) {
             List<WatchedEntry> changes = List.copyOf(own.changes);
             own.changes.clear();
-            sharing.read(prefix, seen.revision(), changes, clockMs.getAsLong(), this::perform);
+            sharing.onWatchUpdate(prefix, seen.revision(), changes, clockMs.getAsLong(), this::perform);
         } else if (event instanceof WatchEvent.Put put) {
             own.changes.add(watched(put.entry()));
         } else if (event instanceof WatchEvent.Deleted deleted) {
             own.changes.add(WatchedEntry.removed(deleted.key(), deleted.revision()));
         } else {
             ownWatches.remove(prefix);
-            sharing.broken(prefix);
+            sharing.onWatchClosed(prefix);
             Consumer<WatchEvent> listener = listeners.remove(prefix);
             if (listener != null) {
                 listener.accept(event);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/watch/WatchAction.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/watch/WatchAction.java
@@ -9,11 +9,11 @@
     record Send(InstanceId to, PeerMessage message) implements WatchAction {}
 
     /** Tell this instance's own duty that an entry below the prefix was written or, without a value, removed. */
-    record Tell(String prefix, PeerMessage.WatchedEntry change) implements WatchAction {}
+    record Notify(String prefix, PeerMessage.WatchedEntry change) implements WatchAction {}
 
     /** Watch the prefix at the service itself, from the revision after this one. */
-    record Read(String prefix, long afterRevision) implements WatchAction {}
+    record StartWatch(String prefix, long afterRevision) implements WatchAction {}
 
     /** End the own watch of the prefix; peers tell of it. */
-    record StopReading(String prefix) implements WatchAction {}
+    record StopWatch(String prefix) implements WatchAction {}
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/watch/WatchSharing.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/watch/WatchSharing.java
@@ -88,7 +88,7 @@
     }
 
     /** The instances that are alive, this one among them. */
-    public void view(FleetView view, long nowMs) {
+    public void onView(FleetView view, long nowMs) {
         Map<String, List<InstanceId>> byDataCentre = new TreeMap<>();
         for (Member member : view.members().values()) {
             if (!member.leaving()) {
@@ -124,7 +124,7 @@
     }
 
     /** The own watch of the prefix broke; it is followed again once it was read anew. */
-    public void broken(String prefix) {
+    public void onWatchClosed(String prefix) {
         Followed known = followed.get(prefix);
         if (known != null) {
             known.active = false;
@@ -133,7 +133,7 @@
     }
 
     /** The own watch brought all changes up to a revision, perhaps none. */
-    public void read(
+    public void onWatchUpdate(
             String prefix, long toRevision, List<WatchedEntry> changes, long nowMs, Consumer<WatchAction> sink) {
         Followed known = followed.get(prefix);
         if (known == null || !known.active) {
@@ -150,7 +150,7 @@
     }
 
     /** Takes a peer's message about watches; false for any other. */
-    public boolean received(InstanceId from, PeerMessage message, long nowMs, Consumer<WatchAction> sink) {
+    public boolean onMessage(InstanceId from, PeerMessage message, long nowMs, Consumer<WatchAction> sink) {
         if (message instanceof PeerMessage.WatchBeat beat) {
             heard(from, nowMs);
             beat.positions().forEach(position -> compare(from, position, nowMs, sink));
@@ -170,7 +170,7 @@
     }
 
     /** Some time has passed. */
-    public void tick(long nowMs, Consumer<WatchAction> sink) {
+    public void onTick(long nowMs, Consumer<WatchAction> sink) {
         decide(nowMs, sink);
         if (nowMs < nextBeatMs) {
             return;
@@ -217,10 +217,10 @@
             if (known.active && !known.reading && (isReader(nowMs) || alone)) {
                 known.reading = true;
                 known.seenAtMs = nowMs;
-                sink.accept(new WatchAction.Read(known.name, known.prefix.completeRevision()));
+                sink.accept(new WatchAction.StartWatch(known.name, known.prefix.completeRevision()));
             } else if (known.reading && !isReader(nowMs) && accompanied) {
                 known.reading = false;
-                sink.accept(new WatchAction.StopReading(known.name));
+                sink.accept(new WatchAction.StopWatch(known.name));
             }
         }
     }
@@ -294,7 +294,7 @@
 
         private void tell(List<WatchedEntry> news, Consumer<WatchAction> sink) {
             if (active) {
-                news.forEach(change -> sink.accept(new WatchAction.Tell(name, change)));
+                news.forEach(change -> sink.accept(new WatchAction.Notify(name, change)));
             }
         }
     }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/watch/WatchedFleet.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/watch/WatchedFleet.java
@@ -54,7 +54,7 @@
         for (Member member : members) {
             Instance instance = fleet.new Instance(member);
             fleet.instances.put(member.id(), instance);
-            instance.sharing.view(FleetView.of(members), 0);
+            instance.sharing.onView(FleetView.of(members), 0);
             instance.readWhole();
             fleet.at(instance.number() % TICK_MS, instance::tick);
         }
@@ -71,13 +71,13 @@
                 .map(instance -> instance.member)
                 .toList();
         for (Instance instance : fleet.instances.values()) {
-            instance.sharing.view(FleetView.of(List.of(instance.member)), 0);
+            instance.sharing.onView(FleetView.of(List.of(instance.member)), 0);
             for (int known = 1; known <= all.size(); known += 5) {
                 List<Member> view = new ArrayList<>(all.subList(0, known));
                 view.add(instance.member);
-                fleet.at(knownMs * known / all.size(), () -> instance.sharing.view(FleetView.of(view), fleet.nowMs));
+                fleet.at(knownMs * known / all.size(), () -> instance.sharing.onView(FleetView.of(view), fleet.nowMs));
             }
-            fleet.at(knownMs, () -> instance.sharing.view(FleetView.of(all), fleet.nowMs));
+            fleet.at(knownMs, () -> instance.sharing.onView(FleetView.of(all), fleet.nowMs));
             fleet.at(
                     instance.number() % knownMs,
                     () -> fleet.put(instance.member.id().name(), "live"));
@@ -92,7 +92,7 @@
                 .map(instance -> instance.member)
                 .filter(member -> !still.contains(member.id()))
                 .toList();
-        instances.values().forEach(instance -> instance.sharing.view(FleetView.of(left), nowMs));
+        instances.values().forEach(instance -> instance.sharing.onView(FleetView.of(left), nowMs));
     }
 
     void standsStill(InstanceId instance) {
@@ -263,7 +263,7 @@
 
         private void tick() {
             if (!still.contains(member.id())) {
-                sharing.tick(nowMs, this::perform);
+                sharing.onTick(nowMs, this::perform);
             }
             at(nowMs + TICK_MS, this::tick);
         }
@@ -271,11 +271,11 @@
         private void perform(WatchAction action) {
             if (action instanceof WatchAction.Send send) {
                 at(nowMs + WAY_MS, () -> instance(send.to()).receive(member.id(), send.message()));
-            } else if (action instanceof WatchAction.Tell tell) {
-                take(tell.change());
-            } else if (action instanceof WatchAction.Read read) {
+            } else if (action instanceof WatchAction.Notify notification) {
+                take(notification.change());
+            } else if (action instanceof WatchAction.StartWatch start) {
                 reading = true;
-                ask(read.afterRevision());
+                ask(start.afterRevision());
             } else {
                 reading = false;
             }
@@ -291,7 +291,7 @@
 
         private void receive(InstanceId from, PeerMessage message) {
             if (!still.contains(member.id()) && !loseNext.remove(member.id())) {
-                sharing.received(from, message, nowMs, this::perform);
+                sharing.onMessage(from, message, nowMs, this::perform);
             }
         }
 
@@ -312,7 +312,7 @@
         /** The watch is broken; where the service answers, the whole is read at once. */
         private void cut() {
             reading = false;
-            sharing.broken(PREFIX);
+            sharing.onWatchClosed(PREFIX);
             at(nowMs + WAY_MS, this::readWhole);
         }
 
@@ -340,7 +340,7 @@
             List<WatchedEntry> news = changes.stream()
                     .filter(change -> change.revision() > afterRevision)
                     .toList();
-            sharing.read(PREFIX, revision, news, nowMs, this::perform);
+            sharing.onWatchUpdate(PREFIX, revision, news, nowMs, this::perform);
             ask(revision);
         }
     }
