--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/Datagram.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/Datagram.java
@@ -41,9 +41,9 @@
      * The members of some parts of the sender's view, in the updates.
      *
      * @param buckets the parts, one bit each
-     * @param answer whether the sender wants the receiver's members of these parts
+     * @param wantsReply whether the sender wants the receiver's members of these parts
      */
-    public record Exchange(int buckets, boolean answer) implements Body {}
+    public record Exchange(int buckets, boolean wantsReply) implements Body {}
 
     /** A purpose that this version does not know; the sender and the updates are still good. */
     public record Unknown() implements Body {}
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/FailureDetector.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/FailureDetector.java
@@ -264,7 +264,7 @@
         if (target == null) {
             return;
         }
-        for (MemberEntry helper : order.sample(table, options.helpers(), target)) {
+        for (MemberEntry helper : order.sample(table, options.indirectProbes(), target)) {
             send(helper.address(), helper, new Datagram.PingRequest(current.number(), target.address()));
         }
     }
@@ -427,7 +427,7 @@
             if (buckets != 0) {
                 sendBuckets(from, buckets, true, nowMs);
             }
-        } else if (body instanceof Datagram.Exchange exchange && exchange.answer()) {
+        } else if (body instanceof Datagram.Exchange exchange && exchange.wantsReply()) {
             sendBuckets(from, exchange.buckets(), false, nowMs);
         }
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/FailureDetectorOptions.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/FailureDetectorOptions.java
@@ -5,28 +5,28 @@
  *
  * @param probeIntervalMs one member is probed per interval; a probe without an answer by its end raises suspicion
  * @param directTimeoutMs after this the probe is repeated through other members
- * @param helpers how many members repeat it
+ * @param indirectProbes how many members repeat it
  * @param suspicionMs how long a suspected member has to show itself in a fleet of ten; grows with the logarithm
  * @param maxTickGapMs a longer time between two ticks means that this instance was paused itself
  * @param contactIntervalMs how often one instance that is not held alive is tried
  * @param exchangeIntervalMs how often the view is compared with another member's
  * @param deadRetentionMs how long a dead member is remembered and tried
  * @param flapMemoryMs how long a death makes later suspicions of the member wait longer, renewed by each suspicion
- * @param tellDeathMs how long a death is told when views are compared
+ * @param deathGossipMs how long a death is told when views are compared
  * @param retransmitFactor an update is sent this many times one more than the digits of the fleet's size
  * @param maxUpdateBytes the most bytes of updates in one datagram
  */
 public record FailureDetectorOptions(
         long probeIntervalMs,
         long directTimeoutMs,
-        int helpers,
+        int indirectProbes,
         long suspicionMs,
         long maxTickGapMs,
         long contactIntervalMs,
         long exchangeIntervalMs,
         long deadRetentionMs,
         long flapMemoryMs,
-        long tellDeathMs,
+        long deathGossipMs,
         int retransmitFactor,
         int maxUpdateBytes) {
     public static final FailureDetectorOptions DEFAULTS =
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberEntry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberEntry.java
@@ -41,7 +41,7 @@
         incarnation = update.incarnation();
         revision = update.revision();
         leaving = update.leaving();
-        if (update.whole()) {
+        if (update.hasDetails()) {
             dataCentre = update.dataCentre();
             address = update.address();
             processorMillicores = update.processorMillicores();
@@ -91,7 +91,7 @@
 
     /** Whether the member died so lately that others may not know. */
     boolean diedLately(long nowMs, FailureDetectorOptions options) {
-        return status == MemberStatus.DEAD && nowMs - endedMs < options.tellDeathMs();
+        return status == MemberStatus.DEAD && nowMs - endedMs < options.deathGossipMs();
     }
 
     boolean overdue(long nowMs) {
@@ -109,7 +109,7 @@
                     id, incarnation, revision, status, leaving, dataCentre, address, generation, processorMillicores);
         }
         MemberStatus sent = status == MemberStatus.LEFT ? MemberStatus.LEFT : MemberStatus.SUSPECT;
-        return MemberUpdate.accusation(id, incarnation, revision, sent, leaving);
+        return MemberUpdate.statusOnly(id, incarnation, revision, sent, leaving);
     }
 
     Member toMember() {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberTable.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberTable.java
@@ -140,7 +140,7 @@
     }
 
     private void add(MemberUpdate update) {
-        if (!update.whole()) {
+        if (!update.hasDetails()) {
             return;
         }
         MemberEntry entry = MemberEntry.of(update);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/wire/DatagramCodec.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/wire/DatagramCodec.java
@@ -134,12 +134,12 @@
 
     private void put(MemberUpdate update) {
         int flags = (update.leaving() ? LEAVING : 0) | STATUS_FLAGS.getOrDefault(update.status(), SUSPECT);
-        out.item(update.whole() ? WHOLE_FIELDS : ACCUSATION_FIELDS)
+        out.item(update.hasDetails() ? WHOLE_FIELDS : ACCUSATION_FIELDS)
                 .put(update.id().name())
                 .put(update.incarnation())
                 .put(update.revision())
                 .put(flags);
-        if (!update.whole()) {
+        if (!update.hasDetails()) {
             return;
         }
         out.put(update.dataCentre().name())
@@ -176,7 +176,7 @@
             compare.digests().forEach(out::putLong);
             out.endList();
         } else if (body instanceof Datagram.Exchange exchange) {
-            out.field(exchange.buckets()).field(exchange.answer() ? 1 : 0);
+            out.field(exchange.buckets()).field(exchange.wantsReply() ? 1 : 0);
         }
     }
 
@@ -226,7 +226,7 @@
         if (!in.hasField()) {
             // An update without a place can only be an accusation; as news of a living member it would be incomplete.
             MemberStatus status = has(flags, LEFT) ? MemberStatus.LEFT : MemberStatus.SUSPECT;
-            return MemberUpdate.accusation(id, incarnation, revision, status, leaving);
+            return MemberUpdate.statusOnly(id, incarnation, revision, status, leaving);
         }
         DataCentreId dataCentre = DataCentreId.of(in.text());
         MemberAddress address = readAddress(in);
--- a/kernel/src/test/java/org/marjoramswitch/kernel/membership/FailureDetectorTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/membership/FailureDetectorTest.java
@@ -27,7 +27,7 @@
 
     private static final Set<Integer> ALL = instances(0, FLEET);
 
-    private final DatagramLoop loop = new DatagramLoop(42);
+    private final SimulatedNetwork loop = new SimulatedNetwork(42);
 
     @Test
     void aFleetThatStartsTogetherFindsItself() {
@@ -46,7 +46,7 @@
         // after the suspicion time each of the others drops it from its view. Twenty runs, each another instance.
         List<Long> timesMs = new ArrayList<>();
         for (int round = 0; round < 20; round++) {
-            DatagramLoop rounds = new DatagramLoop(round);
+            SimulatedNetwork rounds = new SimulatedNetwork(round);
             rounds.startAll(FLEET);
             rounds.run(5_000 + round * 37L);
             int victim = round % FLEET;
@@ -64,7 +64,7 @@
     @Property(tries = 15, seed = "21")
     void lossAndDelayDoNotBreakTheFleetForLong(
             @ForAll long seed, @ForAll @IntRange(min = 0, max = 20) int lossPercent) {
-        DatagramLoop lossy = new DatagramLoop(seed);
+        SimulatedNetwork lossy = new SimulatedNetwork(seed);
         lossy.startAll(FLEET);
         lossy.lossShare = lossPercent / 100.0;
         lossy.maxDelayMs = 40;
@@ -88,7 +88,7 @@
     void aPartitionHeals(@ForAll long seed, @ForAll @IntRange(min = 1, max = 8) int cut) {
         // The fleet is cut in two for 20 s. Each side drops the other and serves on. When the cut ends the sides find
         // each other again by pinging what they hold dead, and all see all.
-        DatagramLoop divided = new DatagramLoop(seed);
+        SimulatedNetwork divided = new SimulatedNetwork(seed);
         divided.startAll(FLEET);
         divided.run(5_000);
         divided.carries = (from, to) -> (from < cut) == (to < cut);
@@ -159,7 +159,7 @@
                 -1,
                 loop.runUntil(
                         () -> loop.detectors.values().stream()
-                                .allMatch(detector -> incarnation(detector, 2) == DatagramLoop.INCARNATION + 2),
+                                .allMatch(detector -> incarnation(detector, 2) == SimulatedNetwork.INCARNATION + 2),
                         5_000));
         assertEquals(0, loop.countChanges("DIED"));
     }
@@ -172,14 +172,14 @@
         loop.start(2, 2);
         loop.readList(FLEET);
         loop.run(5_000);
-        long newer = DatagramLoop.INCARNATION + 2;
+        long newer = SimulatedNetwork.INCARNATION + 2;
         Datagram.Sender young =
-                new Datagram.Sender(DatagramLoop.id(2), newer, 0, false, false, DataCentreId.of("leith-2"), 0, 0);
+                new Datagram.Sender(SimulatedNetwork.id(2), newer, 0, false, false, DataCentreId.of("leith-2"), 0, 0);
         List<MembershipAction> actions = old.onDatagram(
-                DatagramLoop.address(2), new Datagram(young, new Datagram.Ping(1), List.of()), loop.nowMs);
+                SimulatedNetwork.address(2), new Datagram(young, new Datagram.Ping(1), List.of()), loop.nowMs);
         assertEquals(
                 List.of(new MembershipAction.MemberChanged(
-                        DatagramLoop.id(2), newer, MembershipAction.Change.SUPERSEDED)),
+                        SimulatedNetwork.id(2), newer, MembershipAction.Change.SUPERSEDED)),
                 actions);
     }
 
@@ -191,7 +191,7 @@
         long seenMs = loop.runUntil(
                 () -> loop.detectors.values().stream()
                         .allMatch(detector ->
-                                detector.view().member(DatagramLoop.id(3)).leaving()),
+                                detector.view().member(SimulatedNetwork.id(3)).leaving()),
                 5_000);
         System.out.println("event=measured case=leaving members=9 seen_ms=" + seenMs);
         assertTrue(seenMs >= 0 && seenMs <= 300);
@@ -315,7 +315,7 @@
     }
 
     private static Cost steadyCost(int members) {
-        DatagramLoop steady = new DatagramLoop(members);
+        SimulatedNetwork steady = new SimulatedNetwork(members);
         steady.startAll(members);
         steady.run(members * 300L);
         assertTrue(steady.agree(instances(0, members), instances(0, members)));
@@ -335,7 +335,7 @@
     }
 
     private static Long incarnation(FailureDetector detector, int instance) {
-        Member member = detector.view().member(DatagramLoop.id(instance));
+        Member member = detector.view().member(SimulatedNetwork.id(instance));
         return member == null ? -1L : member.incarnation();
     }
 
--- a/kernel/src/test/java/org/marjoramswitch/kernel/membership/DatagramLoop.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/membership/SimulatedNetwork.java
@@ -18,7 +18,7 @@
 import org.marjoramswitch.kernel.wire.DatagramResult;
 
 /** A queue of datagrams and a clock between the detectors of one test; every datagram goes through the codec. */
-final class DatagramLoop {
+final class SimulatedNetwork {
     static final int TICK_MS = 50;
     /** As large as a time of start in ms, so that sizes are as in practice. */
     static final long INCARNATION = 1_800_000_000_000L;
@@ -42,7 +42,7 @@
     private final PriorityQueue<Flight> flights = new PriorityQueue<>();
     private long sequence;
 
-    DatagramLoop(long seed) {
+    SimulatedNetwork(long seed) {
         this.random = new Random(seed);
     }
 
--- a/kernel/src/test/java/org/marjoramswitch/kernel/wire/DatagramCodecTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/wire/DatagramCodecTest.java
@@ -24,8 +24,8 @@
     private static final List<MemberUpdate> UPDATES = List.of(
             new MemberUpdate(
                     ID, 5, 6, MemberStatus.ALIVE, true, DATA_CENTRE, MemberAddress.of("10.1.2.3", 7_001), 9, 1_500),
-            MemberUpdate.accusation(ID, 5, 6, MemberStatus.SUSPECT, false),
-            MemberUpdate.accusation(ID, 5, 7, MemberStatus.LEFT, true));
+            MemberUpdate.statusOnly(ID, 5, 6, MemberStatus.SUSPECT, false),
+            MemberUpdate.statusOnly(ID, 5, 7, MemberStatus.LEFT, true));
 
     private final DatagramCodec codec = DatagramCodec.create("key");
 
