--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/AnswerBuffer.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/AnswerBuffer.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
-import org.marjoramswitch.daemon.exchange.AnswerListener;
+import org.marjoramswitch.daemon.exchange.ResponseListener;
 import org.marjoramswitch.kernel.error.Failure;
 
 /**
@@ -23,7 +23,7 @@
  *
  * <p>All methods may be called by any thread; the lock is held for a few steps only and never while a reader is told.
  */
-final class AnswerBuffer implements AnswerListener {
+final class AnswerBuffer implements ResponseListener {
     /** How far a reader may be behind once the memory of all answers is spent; enough for one that keeps reading. */
     private static final int TIGHT_UNREAD_BYTES = 16 << 10;
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/AnswerRelay.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/AnswerRelay.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import java.util.function.UnaryOperator;
-import org.marjoramswitch.daemon.exchange.AnswerListener;
+import org.marjoramswitch.daemon.exchange.ResponseListener;
 import org.marjoramswitch.kernel.error.Failure;
 
 /**
@@ -10,7 +10,7 @@
  *
  * @param told makes of a failure what the caller is told
  */
-record AnswerRelay(AnswerBuffer buffer, Progress progress, UnaryOperator<Failure> told) implements AnswerListener {
+record AnswerRelay(AnswerBuffer buffer, Progress progress, UnaryOperator<Failure> told) implements ResponseListener {
     /** Hears how far the request has come. */
     interface Progress {
         Progress NONE = new Progress() {};
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/DecisionDuty.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/DecisionDuty.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.marjoramswitch.daemon.exchange.AnswerListener;
+import org.marjoramswitch.daemon.exchange.ResponseListener;
 import org.marjoramswitch.daemon.exchange.RequestGate;
 import org.marjoramswitch.daemon.exchange.TargetCall;
 import org.marjoramswitch.daemon.exchange.TargetClient;
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public void submit(RequestSpec request, TargetCall call, AnswerListener listener) {
+    public void submit(RequestSpec request, TargetCall call, ResponseListener listener) {
         OpenRequest opened = OpenRequest.of(request, call, listener);
         if (closed) {
             opened.fail(Failure.notRun(ErrorType.INSTANCE_LEAVING, 0, ""));
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/OpenRequest.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/OpenRequest.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.jspecify.annotations.Nullable;
-import org.marjoramswitch.daemon.exchange.AnswerListener;
+import org.marjoramswitch.daemon.exchange.ResponseListener;
 import org.marjoramswitch.daemon.exchange.TargetCall;
 import org.marjoramswitch.daemon.exchange.TargetClient.Attempt;
 import org.marjoramswitch.kernel.error.ErrorType;
@@ -35,7 +35,7 @@
 
     private final RequestSpec spec;
     private final TargetCall call;
-    private final AnswerListener caller;
+    private final ResponseListener caller;
     private final AtomicBoolean callerGone = new AtomicBoolean();
 
     // Only the deciding thread uses these three.
@@ -58,13 +58,13 @@
 
     private String position = "";
 
-    private OpenRequest(RequestSpec spec, TargetCall call, AnswerListener caller) {
+    private OpenRequest(RequestSpec spec, TargetCall call, ResponseListener caller) {
         this.spec = spec;
         this.call = call;
         this.caller = caller;
     }
 
-    static OpenRequest of(RequestSpec spec, TargetCall call, AnswerListener caller) {
+    static OpenRequest of(RequestSpec spec, TargetCall call, ResponseListener caller) {
         return new OpenRequest(spec, call, caller);
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/exchange/RequestGate.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/exchange/RequestGate.java
@@ -8,7 +8,7 @@
     long nextRequestId();
 
     /** Queues the request; the listener gets its answer or failure. Never blocks. */
-    void submit(RequestSpec request, TargetCall call, AnswerListener listener);
+    void submit(RequestSpec request, TargetCall call, ResponseListener listener);
 
     /** The caller of a request has gone; its listener still gets an end. */
     void callerGone(long requestId);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/exchange/AnswerListener.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/exchange/ResponseListener.java
@@ -7,7 +7,7 @@
  * Takes a request's answer on its way to the caller. Called in order by one thread at a time: head, any number of
  * bytes, then exactly one of complete and failure; a failure may come first. Never blocks.
  */
-public interface AnswerListener {
+public interface ResponseListener {
     /** The request is sent to a target now, for the first time or again; comes before any head. */
     default void onSent() {}
 
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/FakeGate.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/FakeGate.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import org.marjoramswitch.daemon.exchange.AnswerListener;
+import org.marjoramswitch.daemon.exchange.ResponseListener;
 import org.marjoramswitch.daemon.exchange.RequestGate;
 import org.marjoramswitch.daemon.exchange.TargetCall;
 import org.marjoramswitch.kernel.error.ErrorType;
@@ -18,10 +18,10 @@
 final class FakeGate implements RequestGate {
     private final AtomicLong lastRequestId = new AtomicLong();
     private final BlockingQueue<Submitted> submitted = new LinkedBlockingQueue<>();
-    private final Map<Long, AnswerListener> listeners = new ConcurrentHashMap<>();
+    private final Map<Long, ResponseListener> listeners = new ConcurrentHashMap<>();
     final Set<Long> gone = ConcurrentHashMap.newKeySet();
 
-    record Submitted(RequestSpec spec, TargetCall call, AnswerListener answer) {
+    record Submitted(RequestSpec spec, TargetCall call, ResponseListener answer) {
         void head(int status, String contentType) {
             answer.onHead(status, Map.of("Content-Type", contentType, "Connection", "close"));
         }
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void submit(RequestSpec request, TargetCall call, AnswerListener listener) {
+    public void submit(RequestSpec request, TargetCall call, ResponseListener listener) {
         listeners.put(request.requestId(), listener);
         submitted.add(new Submitted(request, call, listener));
     }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/core/DecisionDutyTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/core/DecisionDutyTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import org.marjoramswitch.daemon.exchange.AnswerListener;
+import org.marjoramswitch.daemon.exchange.ResponseListener;
 import org.marjoramswitch.daemon.exchange.TargetCall;
 import org.marjoramswitch.daemon.exchange.TargetClient;
 import org.marjoramswitch.kernel.action.Action;
@@ -288,7 +288,7 @@
     }
 
     /** Keeps what a caller hears. */
-    private static final class Heard implements AnswerListener {
+    private static final class Heard implements ResponseListener {
         private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
 
         @Override
