--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
@@ -7,7 +7,7 @@
 import java.util.function.LongSupplier;
 import java.util.function.UnaryOperator;
 import org.jspecify.annotations.Nullable;
-import org.marjoramswitch.daemon.exchange.RequestGate;
+import org.marjoramswitch.daemon.exchange.RequestSubmitter;
 import org.marjoramswitch.kernel.error.ErrorType;
 import org.marjoramswitch.kernel.error.Failure;
 import org.marjoramswitch.kernel.message.PeerMessage.KeyState;
@@ -34,7 +34,7 @@
     private static final long CLAIM_RETRY_AFTER_MS = 1_000;
 
     private final CallerOptions options;
-    private final RequestGate gate;
+    private final RequestSubmitter gate;
     private final RequestKeys keys;
     private final Claims claims;
     private final LongSupplier clockMs;
@@ -42,7 +42,7 @@
 
     private CallIntake(
             CallerOptions options,
-            RequestGate gate,
+            RequestSubmitter gate,
             RequestKeys keys,
             Claims claims,
             LongSupplier clockMs,
@@ -57,7 +57,7 @@
 
     static CallIntake of(
             CallerOptions options,
-            RequestGate gate,
+            RequestSubmitter gate,
             RequestKeys keys,
             Claims claims,
             LongSupplier clockMs,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerServer.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerServer.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import org.marjoramswitch.daemon.exchange.RequestGate;
+import org.marjoramswitch.daemon.exchange.RequestSubmitter;
 import org.marjoramswitch.daemon.settings.HostPort;
 import org.marjoramswitch.kernel.settings.FleetSettings;
 import org.xnio.Options;
@@ -44,7 +44,7 @@
     public static CallerServer start(
             HostPort bind,
             CallerOptions options,
-            RequestGate gate,
+            RequestSubmitter gate,
             RequestKeys keys,
             Claims claims,
             AddressBook addresses,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardHandler.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardHandler.java
@@ -17,7 +17,7 @@
 import org.jspecify.annotations.Nullable;
 import org.marjoramswitch.daemon.exchange.CallDecoder;
 import org.marjoramswitch.daemon.exchange.CallDecoder.CallFacts;
-import org.marjoramswitch.daemon.exchange.RequestGate;
+import org.marjoramswitch.daemon.exchange.RequestSubmitter;
 import org.marjoramswitch.daemon.route.Route;
 import org.marjoramswitch.daemon.route.RoutedSettings;
 import org.marjoramswitch.kernel.error.ErrorType;
@@ -40,7 +40,7 @@
 
     private final CallerOptions options;
     private final CallDecoder decoder;
-    private final RequestGate gate;
+    private final RequestSubmitter gate;
     private final Supplier<RoutedSettings> settings;
     private final ApiKeys apiKeys;
     private final ConnectionUse connections;
@@ -54,7 +54,7 @@
     ForwardHandler(
             CallerOptions options,
             CallDecoder decoder,
-            RequestGate gate,
+            RequestSubmitter gate,
             Supplier<RoutedSettings> settings,
             BooleanSupplier leaving,
             BooleanSupplier behind,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardServer.java
@@ -9,7 +9,7 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import org.marjoramswitch.daemon.exchange.CallDecoder;
-import org.marjoramswitch.daemon.exchange.RequestGate;
+import org.marjoramswitch.daemon.exchange.RequestSubmitter;
 import org.marjoramswitch.daemon.route.CallerLimits;
 import org.marjoramswitch.daemon.route.RoutedSettings;
 import org.marjoramswitch.daemon.settings.HostPort;
@@ -43,7 +43,7 @@
             Map<HostPort, HttpHandler> others,
             CallerOptions options,
             CallDecoder decoder,
-            RequestGate gate,
+            RequestSubmitter gate,
             Supplier<RoutedSettings> settings,
             BooleanSupplier leaving,
             LongSupplier decisionsLagMs,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/package-info.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Where callers connect: the HTTP server, its refusals, and the way of an answer back to its caller. A request is read
- * whole by {@code CallHandler}, handed to the {@link org.marjoramswitch.daemon.exchange.RequestGate}, and its answer
+ * whole by {@code CallHandler}, handed to the {@link org.marjoramswitch.daemon.exchange.RequestSubmitter}, and its answer
  * goes through an {@code AnswerBuffer} to the {@code AnswerWriter} of each caller that follows it.
  */
 @NullMarked
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/DecisionDuty.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/DecisionDuty.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.marjoramswitch.daemon.exchange.ResponseListener;
-import org.marjoramswitch.daemon.exchange.RequestGate;
+import org.marjoramswitch.daemon.exchange.RequestSubmitter;
 import org.marjoramswitch.daemon.exchange.TargetCall;
 import org.marjoramswitch.daemon.exchange.TargetClient;
 import org.marjoramswitch.daemon.log.KeyValueLog;
@@ -45,7 +45,7 @@
  * floods the instance fills 16,384 of them before its link is cut. The 4,000 ends, 4,000 words of targets and 4,000 losses
  * of callers that may come in that moment still fit, and so do thousands of changes of links, targets and settings.
  */
-public final class DecisionDuty implements RequestGate, PeerListener, EventSink, AutoCloseable {
+public final class DecisionDuty implements RequestSubmitter, PeerListener, EventSink, AutoCloseable {
     /** When a caller that found the instance full should come back. */
     private static final long FULL_RETRY_AFTER_MS = 1_000;
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/exchange/RequestGate.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/exchange/RequestSubmitter.java
@@ -3,7 +3,7 @@
 import org.marjoramswitch.kernel.model.RequestSpec;
 
 /** Where the callers' side hands over a request that was read whole. */
-public interface RequestGate {
+public interface RequestSubmitter {
     /** A request id that this incarnation has not used yet. */
     long nextRequestId();
 
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/FakeGate.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/FakeGate.java
@@ -8,14 +8,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import org.marjoramswitch.daemon.exchange.ResponseListener;
-import org.marjoramswitch.daemon.exchange.RequestGate;
+import org.marjoramswitch.daemon.exchange.RequestSubmitter;
 import org.marjoramswitch.daemon.exchange.TargetCall;
 import org.marjoramswitch.kernel.error.ErrorType;
 import org.marjoramswitch.kernel.error.Failure;
 import org.marjoramswitch.kernel.model.RequestSpec;
 
 /** Hands what was submitted to the test, which plays the targets. */
-final class FakeGate implements RequestGate {
+final class FakeGate implements RequestSubmitter {
     private final AtomicLong lastRequestId = new AtomicLong();
     private final BlockingQueue<Submitted> submitted = new LinkedBlockingQueue<>();
     private final Map<Long, ResponseListener> listeners = new ConcurrentHashMap<>();
