--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/AttemptRelay.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/AttemptRelay.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.marjoramswitch.daemon.exchange.TargetClient.AttemptListener;
-import org.marjoramswitch.daemon.exchange.TargetNotice;
+import org.marjoramswitch.daemon.exchange.TargetStatusNotice;
 import org.marjoramswitch.kernel.event.Event;
 import org.marjoramswitch.kernel.model.TargetOutcome;
 import org.marjoramswitch.kernel.model.Usage;
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public void onNotice(TargetNotice notice) {
+    public void onNotice(TargetStatusNotice notice) {
         if (notice.leaving()) {
             events.offer(new Event.TargetSaidLeaving(target.id(), target.startedAtMs()));
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/exchange/TargetClient.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/exchange/TargetClient.java
@@ -22,7 +22,7 @@
         void onHead(int status, Map<String, String> headers);
 
         /** The target says this of itself beside its answer, whatever becomes of the answer. */
-        default void onNotice(TargetNotice notice) {}
+        default void onNotice(TargetStatusNotice notice) {}
 
         void onBytes(byte[] bytes);
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/exchange/TargetNotice.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/exchange/TargetStatusNotice.java
@@ -6,8 +6,8 @@
  * @param leaving whether it leaves and wants no new request
  * @param restMs how long it wants nothing from this instance; 0 where it does not say
  */
-public record TargetNotice(boolean leaving, long restMs) {
-    public static final TargetNotice NONE = new TargetNotice(false, 0);
+public record TargetStatusNotice(boolean leaving, long restMs) {
+    public static final TargetStatusNotice NONE = new TargetStatusNotice(false, 0);
 
     public boolean isNone() {
         return equals(NONE);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/AnswerReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/AnswerReader.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 import org.marjoramswitch.daemon.exchange.TargetCall;
-import org.marjoramswitch.daemon.exchange.TargetNotice;
+import org.marjoramswitch.daemon.exchange.TargetStatusNotice;
 import org.xnio.channels.StreamSourceChannel;
 
 /**
@@ -64,7 +64,7 @@
     }
 
     /** What the target says of itself. */
-    TargetNotice notice() {
+    TargetStatusNotice notice() {
         return protocol.notices().read(status, headers);
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/AttemptLog.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/AttemptLog.java
@@ -1,6 +1,6 @@
 package org.marjoramswitch.daemon.target;
 
-import org.marjoramswitch.daemon.exchange.TargetNotice;
+import org.marjoramswitch.daemon.exchange.TargetStatusNotice;
 import org.marjoramswitch.daemon.log.KeyValueLog;
 import org.marjoramswitch.daemon.target.EnginePatience.Verdict;
 import org.marjoramswitch.kernel.error.ErrorType;
@@ -30,7 +30,7 @@
                 String.valueOf(answer.echoedId()));
     }
 
-    void notice(TargetNotice notice) {
+    void notice(TargetStatusNotice notice) {
         LOG.info(
                 "target_notice",
                 TARGET,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/HttpAttempt.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/HttpAttempt.java
@@ -10,7 +10,7 @@
 import org.marjoramswitch.daemon.exchange.TargetCall;
 import org.marjoramswitch.daemon.exchange.TargetClient.Attempt;
 import org.marjoramswitch.daemon.exchange.TargetClient.AttemptListener;
-import org.marjoramswitch.daemon.exchange.TargetNotice;
+import org.marjoramswitch.daemon.exchange.TargetStatusNotice;
 import org.marjoramswitch.kernel.model.TargetOutcome;
 import org.marjoramswitch.kernel.model.Usage;
 import org.xnio.XnioIoThread;
@@ -201,7 +201,7 @@
             broken();
             return;
         }
-        TargetNotice notice = opened.notice();
+        TargetStatusNotice notice = opened.notice();
         if (!notice.isNone()) {
             log.notice(notice);
             listener.onNotice(notice);
