--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardHandler.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardHandler.java
@@ -16,7 +16,7 @@
 import java.util.function.Supplier;
 import org.jspecify.annotations.Nullable;
 import org.marjoramswitch.daemon.exchange.CallDecoder;
-import org.marjoramswitch.daemon.exchange.CallDecoder.CallFacts;
+import org.marjoramswitch.daemon.exchange.CallDecoder.CallMetadata;
 import org.marjoramswitch.daemon.exchange.RequestSubmitter;
 import org.marjoramswitch.daemon.route.Route;
 import org.marjoramswitch.daemon.route.RoutedSettings;
@@ -165,7 +165,7 @@
 
     private void take(CallerExchange caller, RoutedSettings current, Route route, byte[] body) {
         Map<String, String> headers = endToEnd(caller.http().getRequestHeaders());
-        CallFacts facts = decoder.read(headers);
+        CallMetadata facts = decoder.read(headers);
         long requestId = gate.nextRequestId();
         PoolId poolId = route.pool(facts.requestId().hashCode());
         PoolSettings pool = current.pools().get(poolId);
@@ -202,7 +202,7 @@
     }
 
     /** How long ago the caller asked for the first time; a try that comes after a refusal is late sooner. */
-    private long elapsedMs(Route route, CallFacts facts) {
+    private long elapsedMs(Route route, CallMetadata facts) {
         return patience.computeIfAbsent(route.name(), missing -> new UsualPatience())
                 .elapsedMs(facts.patienceMs());
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/RoutedCall.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/RoutedCall.java
@@ -3,7 +3,7 @@
 import io.undertow.server.HttpServerExchange;
 import java.util.Map;
 import org.marjoramswitch.daemon.exchange.CallDecoder;
-import org.marjoramswitch.daemon.exchange.CallDecoder.CallFacts;
+import org.marjoramswitch.daemon.exchange.CallDecoder.CallMetadata;
 import org.marjoramswitch.daemon.exchange.TargetCall;
 import org.marjoramswitch.daemon.route.Route;
 import org.marjoramswitch.daemon.route.RoutedSettings;
@@ -16,7 +16,7 @@
 
 /** A call on a route that was read whole: what the decisions are told of it, and what goes to a target. */
 record RoutedCall(
-        long requestId, CustomerId customer, RoutedSettings settings, Route route, PoolSettings pool, CallFacts facts) {
+        long requestId, CustomerId customer, RoutedSettings settings, Route route, PoolSettings pool, CallMetadata facts) {
     /** Requests of callers that need no key share one queue. */
     static final CustomerId NO_CUSTOMER = CustomerId.of("-");
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/exchange/CallDecoder.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/exchange/CallDecoder.java
@@ -9,7 +9,7 @@
 /** Reads what a caller says of its request in headers of the platform's own, and writes the ones for the target. */
 public interface CallDecoder {
     /** @param headers with names in lower case */
-    CallFacts read(Map<String, String> headers);
+    CallMetadata read(Map<String, String> headers);
 
     /**
      * The headers that go on with the call.
@@ -31,7 +31,7 @@
      * @param mostOutputTokens the most that the answer may have, 0 where it is not said
      * @param likelyOutputTokens the caller's guess, 0 where there is none
      */
-    record CallFacts(
+    record CallMetadata(
             String requestId,
             long patienceMs,
             List<PromptPart> prompt,
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/ForwardServerTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/ForwardServerTest.java
@@ -156,8 +156,8 @@
 
     private static final class PlainDecoder implements CallDecoder {
         @Override
-        public CallFacts read(Map<String, String> headers) {
-            return new CallFacts("", 0, List.of(), 0, 0);
+        public CallMetadata read(Map<String, String> headers) {
+            return new CallMetadata("", 0, List.of(), 0, 0);
         }
 
         @Override
