--- a/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.marjoramswitch.daemon.caller.AddressBook;
+import org.marjoramswitch.daemon.caller.InstanceDirectory;
 import org.marjoramswitch.daemon.caller.CallerOptions;
 import org.marjoramswitch.daemon.caller.ForwardServer;
 import org.marjoramswitch.daemon.caller.Health;
@@ -133,7 +133,7 @@
             return instance.health();
         }
 
-        public AddressBook addresses() {
+        public InstanceDirectory addresses() {
             return instance.core.directory();
         }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/AddressChooser.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/AddressChooser.java
@@ -32,11 +32,11 @@
     private AddressChooser() {}
 
     /** @param turn any number; successive ones rotate the instances that lead */
-    static List<AddressBook.Entry> choose(
-            List<AddressBook.Entry> eligible, CustomerId customer, double loadFactor, long turn) {
-        Map<InstanceId, AddressBook.Entry> byInstance = new HashMap<>();
+    static List<InstanceDirectory.Entry> choose(
+            List<InstanceDirectory.Entry> eligible, CustomerId customer, double loadFactor, long turn) {
+        Map<InstanceId, InstanceDirectory.Entry> byInstance = new HashMap<>();
         eligible.forEach(entry -> byInstance.put(entry.instance(), entry));
-        List<AddressBook.Entry> ranked = new ArrayList<>();
+        List<InstanceDirectory.Entry> ranked = new ArrayList<>();
         for (InstanceId instance : Rendezvous.rank(customer.name(), byInstance.keySet())) {
             ranked.add(Objects.requireNonNull(byInstance.get(instance)));
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerServer.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerServer.java
@@ -47,7 +47,7 @@
             RequestSubmitter gate,
             RequestKeys keys,
             Claims claims,
-            AddressBook addresses,
+            InstanceDirectory addresses,
             Supplier<FleetSettings> settings,
             Supplier<Health> health,
             LongSupplier clockMs,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/InfoHandlers.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/InfoHandlers.java
@@ -25,10 +25,10 @@
 
     private InfoHandlers() {}
 
-    static HttpHandler address(Authenticator authenticator, AddressBook addresses, RequestKeys keys, int keepMs) {
+    static HttpHandler address(Authenticator authenticator, InstanceDirectory addresses, RequestKeys keys, int keepMs) {
         AtomicLong turn = new AtomicLong();
         return authenticated(authenticator, (exchange, customer) -> {
-            List<AddressBook.Entry> chosen = AddressChooser.choose(
+            List<InstanceDirectory.Entry> chosen = AddressChooser.choose(
                     addresses.eligible(), customer, addresses.loadFactor(customer), turn.getAndIncrement());
             if (chosen.isEmpty()) {
                 Replies.sendProblem(exchange, Failure.notRun(ErrorType.NOT_READY, NO_INSTANCE_RETRY_AFTER_MS, ""), 0);
@@ -38,10 +38,10 @@
         });
     }
 
-    private static ObjectNode addressAnswer(List<AddressBook.Entry> chosen, RequestKeys keys, int keepMs) {
+    private static ObjectNode addressAnswer(List<InstanceDirectory.Entry> chosen, RequestKeys keys, int keepMs) {
         ObjectNode answer = Json.object();
         ArrayNode instances = answer.putArray("instances");
-        for (AddressBook.Entry entry : chosen) {
+        for (InstanceDirectory.Entry entry : chosen) {
             ObjectNode instance = instances.addObject();
             instance.put("instance", entry.instance().name());
             instance.put("address", entry.address().toString());
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/AddressBook.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/InstanceDirectory.java
@@ -7,7 +7,7 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /** What the callers' side knows of the fleet's instances. Called by the server's threads, never blocks. */
-public interface AddressBook {
+public interface InstanceDirectory {
     /** The instances that new callers may use now, in any order. */
     List<Entry> eligible();
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/RequestKeys.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/RequestKeys.java
@@ -68,7 +68,7 @@
             Member self,
             CallerOptions options,
             PeerSender peers,
-            AddressBook addresses,
+            InstanceDirectory addresses,
             LongSupplier clockMs,
             LongSupplier wallClockMs) {
         HomeQueries queries =
--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/FleetDirectory.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/FleetDirectory.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
-import org.marjoramswitch.daemon.caller.AddressBook;
+import org.marjoramswitch.daemon.caller.InstanceDirectory;
 import org.marjoramswitch.daemon.platform.FleetList.ListedInstance;
 import org.marjoramswitch.daemon.settings.HostPort;
 import org.marjoramswitch.kernel.model.CustomerId;
@@ -21,7 +21,7 @@
  * <p>The list lags and may be missing, so it adds and removes no member. An instance without a listed address serves
  * its peers and is only left out of address answers.
  */
-public final class FleetDirectory implements AddressBook {
+public final class FleetDirectory implements InstanceDirectory {
     private final InstanceId self;
     private final Consumer<FleetView> onView;
     private final LoadFactor loadFactor;
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/Fixture.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/Fixture.java
@@ -92,7 +92,7 @@
     }
 
     /** Three eligible instances. */
-    private static final class Addresses implements AddressBook {
+    private static final class Addresses implements InstanceDirectory {
         private volatile FakePeers peers = new FakePeers();
 
         @Override
