--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/RoutedCall.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/RoutedCall.java
@@ -59,7 +59,7 @@
                         decoder.forTarget(headers, customer.equals(NO_CUSTOMER) ? null : customer),
                         body,
                         route.kind().streaming())
-                .within(nowNs + patienceMs() * NS_PER_MS, silenceMs());
+                .withTimeouts(nowNs + patienceMs() * NS_PER_MS, silenceMs());
     }
 
     private PlacementSpec placement(long objectiveAtMs) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/exchange/TargetCall.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/exchange/TargetCall.java
@@ -35,7 +35,7 @@
     }
 
     /** The same call, bounded in time. */
-    public TargetCall within(long callDeadlineNs, long targetSilenceMs) {
+    public TargetCall withTimeouts(long callDeadlineNs, long targetSilenceMs) {
         return new TargetCall(kind, method, path, headers, body, streaming, callDeadlineNs, targetSilenceMs, fetchFrom);
     }
 
@@ -53,12 +53,12 @@
     }
 
     /** Whether the caller's time is over. */
-    public boolean isOver(long nowNs) {
+    public boolean isExpired(long nowNs) {
         return deadlineNs != 0 && nowNs - deadlineNs >= 0;
     }
 
     /** What is left of the caller's time, at least 1 ms; 0 where it did not say. */
-    public long leftMs(long nowNs) {
+    public long remainingMs(long nowNs) {
         return deadlineNs == 0 ? 0 : Math.max(1, (deadlineNs - nowNs) / NS_PER_MS);
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/HttpAttempt.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/HttpAttempt.java
@@ -145,7 +145,7 @@
     }
 
     private void send(ClientConnection usable) {
-        if (sending.isOver(System.nanoTime())) {
+        if (sending.isExpired(System.nanoTime())) {
             // On a busy instance the decisions' own end of the request may come after its turn here or its connection.
             // Sent
             // now, the target would work for nobody.
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/target/ServiceAttemptTest.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/target/ServiceAttemptTest.java
@@ -90,7 +90,7 @@
         long overNs = System.nanoTime() - 1;
         for (int i = 0; i < 2; i++) {
             RecordedAttempt late = fixture.run(
-                    service.port(), PATIENT_MS, fixture.serviceCall().within(overNs, PATIENT_MS));
+                    service.port(), PATIENT_MS, fixture.serviceCall().withTimeouts(overNs, PATIENT_MS));
             assertEquals(TargetOutcome.CANCELLED, late.outcome());
         }
         assertTrue(service.executions().isEmpty());
