--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/AttemptRelay.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/AttemptRelay.java
@@ -45,8 +45,8 @@
         if (notice.leaving()) {
             events.offer(new Event.TargetSaidLeaving(target.id(), target.startedAtMs()));
         }
-        if (notice.restMs() > 0) {
-            events.offer(new Event.TargetAskedForRest(target.id(), notice.restMs()));
+        if (notice.backoffMs() > 0) {
+            events.offer(new Event.TargetAskedForRest(target.id(), notice.backoffMs()));
         }
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/AttemptLog.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/AttemptLog.java
@@ -40,7 +40,7 @@
                 "leaving",
                 notice.leaving(),
                 "rest_ms",
-                notice.restMs());
+                notice.backoffMs());
     }
 
     void lost(RuntimeException fault) {
