--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardHandler.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardHandler.java
@@ -165,13 +165,13 @@
 
     private void take(CallerExchange caller, RoutedSettings current, Route route, byte[] body) {
         Map<String, String> headers = endToEnd(caller.http().getRequestHeaders());
-        CallMetadata facts = decoder.read(headers);
+        CallMetadata metadata = decoder.read(headers);
         long requestId = gate.nextRequestId();
-        PoolId poolId = route.pool(facts.requestId().hashCode());
+        PoolId poolId = route.pool(metadata.requestId().hashCode());
         PoolSettings pool = current.pools().get(poolId);
         caller.assign(poolId);
         caller.assign(requestId);
-        caller.named(facts.requestId());
+        caller.named(metadata.requestId());
         if (CallerWatch.hasLeft(caller.http())) {
             budget.release(body.length);
             refuse(caller, Failure.notRun(ErrorType.CALLER_GONE, 0, ""));
@@ -192,19 +192,19 @@
         AnswerWriter.unchanged(caller.http(), requestId, times, new CallListener(caller, requestId))
                 .start(buffer);
         RoutedCall call =
-                new RoutedCall(requestId, Objects.requireNonNull(caller.customer()), current, route, pool, facts);
+                new RoutedCall(requestId, Objects.requireNonNull(caller.customer()), current, route, pool, metadata);
         long digest = RequestDigest.of(call.customer(), caller.http(), body);
         caller.digested(digest);
         gate.submit(
-                call.spec(clockMs.getAsLong(), elapsedMs(route, facts)).withDigest(digest),
+                call.spec(clockMs.getAsLong(), elapsedMs(route, metadata)).withDigest(digest),
                 call.toTarget(caller.http(), decoder, headers, body, System.nanoTime()),
                 new AnswerRelay(buffer, new PartsHeard(caller), TruthfulStatus::of));
     }
 
     /** How long ago the caller asked for the first time; a try that comes after a refusal is late sooner. */
-    private long elapsedMs(Route route, CallMetadata facts) {
+    private long elapsedMs(Route route, CallMetadata metadata) {
         return patience.computeIfAbsent(route.name(), missing -> new UsualPatience())
-                .elapsedMs(facts.patienceMs());
+                .elapsedMs(metadata.timeoutMs());
     }
 
     private void refuse(CallerExchange caller, Failure failure) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/RoutedCall.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/RoutedCall.java
@@ -16,7 +16,7 @@
 
 /** A call on a route that was read whole: what the decisions are told of it, and what goes to a target. */
 record RoutedCall(
-        long requestId, CustomerId customer, RoutedSettings settings, Route route, PoolSettings pool, CallMetadata facts) {
+        long requestId, CustomerId customer, RoutedSettings settings, Route route, PoolSettings pool, CallMetadata metadata) {
     /** Requests of callers that need no key share one queue. */
     static final CustomerId NO_CUSTOMER = CustomerId.of("-");
 
@@ -42,10 +42,10 @@
                 pool.id(),
                 settings.priorities().getOrDefault(customer, route.priority()),
                 route.kind().repeatable(),
-                facts.prompt().stream().mapToLong(PromptPart::tokens).sum(),
-                facts.likelyOutputTokens(),
+                metadata.prompt().stream().mapToLong(PromptPart::tokens).sum(),
+                metadata.expectedOutputTokens(),
                 0,
-                nowMs + Math.min(patienceMs(), route.timeoutMs()),
+                nowMs + Math.min(callerTimeoutMs(), route.timeoutMs()),
                 placement(nowMs - elapsedMs + route.objectiveMs() - CALLER_WAY_MS));
     }
 
@@ -59,7 +59,7 @@
                         decoder.forTarget(headers, customer.equals(NO_CUSTOMER) ? null : customer),
                         body,
                         route.kind().streaming())
-                .withTimeouts(nowNs + patienceMs() * NS_PER_MS, silenceMs());
+                .withTimeouts(nowNs + callerTimeoutMs() * NS_PER_MS, silenceMs());
     }
 
     private PlacementSpec placement(long objectiveAtMs) {
@@ -67,16 +67,16 @@
             return PlacementSpec.plain(objectiveAtMs, route.attempts());
         }
         boolean resumable = route.kind().repeatable() && route.kind().streaming();
-        return new PlacementSpec(facts.prompt(), outputTokens(), objectiveAtMs, route.attempts(), resumable);
+        return new PlacementSpec(metadata.prompt(), outputTokens(), objectiveAtMs, route.attempts(), resumable);
     }
 
     /** The caller's guess, right at the median; without one the most that it allows. */
     private long outputTokens() {
-        return facts.likelyOutputTokens() > 0 ? facts.likelyOutputTokens() : facts.mostOutputTokens();
+        return metadata.expectedOutputTokens() > 0 ? metadata.expectedOutputTokens() : metadata.maxOutputTokens();
     }
 
-    private long patienceMs() {
-        return facts.patienceMs() > 0 ? facts.patienceMs() : route.timeoutMs();
+    private long callerTimeoutMs() {
+        return metadata.timeoutMs() > 0 ? metadata.timeoutMs() : route.timeoutMs();
     }
 
     /** How long a target may be silent: no time of its own where no other target may take the request. */
--- a/daemon/src/main/java/org/marjoramswitch/daemon/exchange/CallDecoder.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/exchange/CallDecoder.java
@@ -26,15 +26,15 @@
      * What a caller says of its request.
      *
      * @param requestId names the request in logs and at the target, empty where the caller gave none
-     * @param patienceMs how long the caller will wait, 0 where it does not say
+     * @param timeoutMs how long the caller will wait, 0 where it does not say
      * @param prompt the prompt's parts in order
-     * @param mostOutputTokens the most that the answer may have, 0 where it is not said
-     * @param likelyOutputTokens the caller's guess, 0 where there is none
+     * @param maxOutputTokens the most that the answer may have, 0 where it is not said
+     * @param expectedOutputTokens the caller's guess, 0 where there is none
      */
     record CallMetadata(
             String requestId,
-            long patienceMs,
+            long timeoutMs,
             List<PromptPart> prompt,
-            long mostOutputTokens,
-            long likelyOutputTokens) {}
+            long maxOutputTokens,
+            long expectedOutputTokens) {}
 }
