--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
@@ -139,15 +139,15 @@
         // Only the try that claimed may begin; asking makes a holder that never began dead.
         KeyState state = keys.stateOf(call.customer(), holder);
         if (state == KeyState.NEVER_SEEN || state == KeyState.DEAD) {
-            tellHolder(caller, call, new HomeAnswer.NotRun());
+            tellHolder(caller, call, new HomeQueryResult.NotRun());
             return;
         }
         begin(caller, call, holder, requestId, CallIntake::releaseNothing);
     }
 
     /** A holder that did not run gives its claim back, and a later try may have the caller's key. */
-    private void tellHolder(CallerExchange caller, Call call, HomeAnswer answer) {
-        Failure failure = answer instanceof HomeAnswer.NotRun
+    private void tellHolder(CallerExchange caller, Call call, HomeQueryResult answer) {
+        Failure failure = answer instanceof HomeQueryResult.NotRun
                 ? Failure.notRun(ErrorType.CLAIM_UNAVAILABLE, CLAIM_RETRY_AFTER_MS, "its last request did not run")
                 : told(caller, answer);
         refuse(caller, call, failure);
@@ -159,8 +159,8 @@
         keys.ask(call.customer(), key, answer -> caller.onIoThread(() -> refuse(caller, call, told(caller, answer))));
     }
 
-    private static Failure told(CallerExchange caller, HomeAnswer answer) {
-        if (answer instanceof HomeAnswer.Lives lives) {
+    private static Failure told(CallerExchange caller, HomeQueryResult answer) {
+        if (answer instanceof HomeQueryResult.Lives lives) {
             String location = "http://" + lives.address() + caller.http().getRequestURI();
             String query = caller.http().getQueryString();
             caller.http()
@@ -168,7 +168,7 @@
                     .put(Headers.LOCATION, query.isEmpty() ? location : location + '?' + query);
             return Failure.unknown(ErrorType.KEY_AT_HOME, lives.address().toString());
         }
-        if (answer instanceof HomeAnswer.Unknown unknown) {
+        if (answer instanceof HomeQueryResult.Unknown unknown) {
             return new Failure(ErrorType.KEY_OUTCOME_UNKNOWN, RunState.UNKNOWN, unknown.retryAfterMs(), "");
         }
         return Failure.notRun(ErrorType.KEY_DEAD, 0, "");
@@ -195,18 +195,18 @@
         }
     }
 
-    private KeyedAnswer keyedAnswer(Call call, long requestId, Runnable release) {
-        AnswerBuffer.Limits limits = new AnswerBuffer.Limits(options.maxUnreadBytes(), options.maxKeptAnswerBytes());
+    private KeyedResponse keyedAnswer(Call call, long requestId, Runnable release) {
+        ResponseBuffer.Limits limits = new ResponseBuffer.Limits(options.maxUnreadBytes(), options.maxKeptAnswerBytes());
         KeyedEnd end = new KeyedEnd(call, release);
-        AnswerBuffer buffer = AnswerBuffer.create(limits, true, budget, end);
-        end.answer = new KeyedAnswer(requestId, call.customer(), call.repeatable(), buffer);
+        ResponseBuffer buffer = ResponseBuffer.create(limits, true, budget, end);
+        end.answer = new KeyedResponse(requestId, call.customer(), call.repeatable(), buffer);
         return end.answer;
     }
 
     private void runWithoutKey(CallerExchange caller, Call call) {
         long requestId = gate.nextRequestId();
-        AnswerBuffer buffer = AnswerBuffer.create(
-                new AnswerBuffer.Limits(options.maxUnreadBytes(), 0),
+        ResponseBuffer buffer = ResponseBuffer.create(
+                new ResponseBuffer.Limits(options.maxUnreadBytes(), 0),
                 false,
                 budget,
                 (end, bytes) -> budget.release(call.targetCall().body().length));
@@ -214,19 +214,19 @@
         submit(call, requestId, buffer, false);
     }
 
-    private boolean follow(CallerExchange caller, KeyedAnswer answer) {
+    private boolean follow(CallerExchange caller, KeyedResponse answer) {
         return follow(caller, answer.requestId(), answer.buffer(), new KeyedListener(caller, answer));
     }
 
-    private boolean follow(CallerExchange caller, long requestId, AnswerBuffer buffer, AnswerWriter.Listener listener) {
+    private boolean follow(CallerExchange caller, long requestId, ResponseBuffer buffer, ResponseWriter.Listener listener) {
         caller.assign(requestId);
         caller.http().getResponseHeaders().put(REQUEST_ID, requestId);
-        AnswerWriter.Times times = new AnswerWriter.Times(
+        ResponseWriter.Times times = new ResponseWriter.Times(
                 options.times().keepAliveMs(), options.times().idleTimeoutMs());
-        return AnswerWriter.of(caller.http(), requestId, times, listener).start(buffer);
+        return ResponseWriter.of(caller.http(), requestId, times, listener).start(buffer);
     }
 
-    private void submit(Call call, long requestId, AnswerBuffer buffer, boolean keyed) {
+    private void submit(Call call, long requestId, ResponseBuffer buffer, boolean keyed) {
         RequestSpec spec = new RequestSpec(
                 requestId,
                 call.customer(),
@@ -240,8 +240,8 @@
         gate.submit(
                 spec.withDigest(call.digest()),
                 call.targetCall(),
-                new AnswerRelay(
-                        buffer, keyed ? noted(requestId) : AnswerRelay.Progress.NONE, UnaryOperator.identity()));
+                new ResponseRelay(
+                        buffer, keyed ? noted(requestId) : ResponseRelay.Progress.NONE, UnaryOperator.identity()));
     }
 
     private void refuse(CallerExchange caller, Call call, Failure failure) {
@@ -250,7 +250,7 @@
     }
 
     /** Follows the writing to the one caller of a request without a key. */
-    private final class UnkeyedListener implements AnswerWriter.Listener {
+    private final class UnkeyedListener implements ResponseWriter.Listener {
         private final CallerExchange caller;
         private final long requestId;
 
@@ -272,7 +272,7 @@
         }
 
         @Override
-        public void onEnd(AnswerWriter.Result result) {
+        public void onEnd(ResponseWriter.Result result) {
             if (result.abandoned()) {
                 gate.callerGone(requestId);
             }
@@ -281,11 +281,11 @@
     }
 
     /** Follows the writing to one of the callers of a request with a key. */
-    private final class KeyedListener implements AnswerWriter.Listener {
+    private final class KeyedListener implements ResponseWriter.Listener {
         private final CallerExchange caller;
-        private final KeyedAnswer answer;
+        private final KeyedResponse answer;
 
-        KeyedListener(CallerExchange caller, KeyedAnswer answer) {
+        KeyedListener(CallerExchange caller, KeyedResponse answer) {
             this.caller = caller;
             this.answer = answer;
         }
@@ -301,7 +301,7 @@
         }
 
         @Override
-        public void onEnd(AnswerWriter.Result result) {
+        public void onEnd(ResponseWriter.Result result) {
             caller.end(result, clockMs.getAsLong());
             if (result.abandoned() && answer.repeatable()) {
                 caller.afterMs(options.times().reattachGraceMs(), this::giveUpIfAlone);
@@ -316,10 +316,10 @@
     }
 
     /** Settles the book and the memory at the end of a request with a key. */
-    private final class KeyedEnd implements AnswerBuffer.EndListener {
+    private final class KeyedEnd implements ResponseBuffer.EndListener {
         private final Call call;
         private final Runnable release;
-        private @Nullable KeyedAnswer answer;
+        private @Nullable KeyedResponse answer;
 
         KeyedEnd(Call call, Runnable release) {
             this.call = call;
@@ -327,18 +327,18 @@
         }
 
         @Override
-        public void onEnd(AnswerEnd end, long totalBytes) {
+        public void onEnd(ResponseEnd end, long totalBytes) {
             budget.release(call.targetCall().body().length);
             keys.ended(Objects.requireNonNull(answer), end, totalBytes);
-            if (end instanceof AnswerEnd.Failed failed && failed.failure().run() == RunState.NOT_RUN) {
+            if (end instanceof ResponseEnd.Failed failed && failed.failure().run() == RunState.NOT_RUN) {
                 release.run();
             }
         }
     }
 
     /** Notes in the book how far a request with a key has come. */
-    private AnswerRelay.Progress noted(long requestId) {
-        return new AnswerRelay.Progress() {
+    private ResponseRelay.Progress noted(long requestId) {
+        return new ResponseRelay.Progress() {
             @Override
             public void onSent() {
                 keys.sent(requestId);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerExchange.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerExchange.java
@@ -115,11 +115,11 @@
         boolean bodyRead = requestChannel == null ? exchange.isRequestComplete() : bodyTaken;
         long bytes = bodyRead
                 ? Replies.sendProblem(exchange, failure, requestId)
-                : LingeringRefusal.send(exchange, requestChannel, failure, requestId);
-        end(new AnswerWriter.Result(AnswerWriter.Outcome.REFUSED, failure, bytes), nowMs);
+                : LingeringClose.send(exchange, requestChannel, failure, requestId);
+        end(new ResponseWriter.Result(ResponseWriter.Outcome.REFUSED, failure, bytes), nowMs);
     }
 
-    void end(AnswerWriter.Result result, long nowMs) {
+    void end(ResponseWriter.Result result, long nowMs) {
         if (ended) {
             return;
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerMetrics.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerMetrics.java
@@ -23,7 +23,7 @@
     private final Meter receivedRequests;
     private final Timer waits;
     private final Timer totals;
-    private final Map<AnswerWriter.Outcome, Meter> outcomes = new EnumMap<>(AnswerWriter.Outcome.class);
+    private final Map<ResponseWriter.Outcome, Meter> outcomes = new EnumMap<>(ResponseWriter.Outcome.class);
     private final Map<ErrorType, Meter> errors = new EnumMap<>(ErrorType.class);
     private final Map<RouteKind, KindMetrics> kinds = new EnumMap<>(RouteKind.class);
 
@@ -34,7 +34,7 @@
         receivedRequests = registry.meter("caller.requests");
         waits = registry.timer("caller.wait");
         totals = registry.timer("caller.total");
-        for (AnswerWriter.Outcome outcome : AnswerWriter.Outcome.values()) {
+        for (ResponseWriter.Outcome outcome : ResponseWriter.Outcome.values()) {
             outcomes.put(outcome, registry.meter("caller." + lower(outcome)));
         }
         for (ErrorType error : ErrorType.values()) {
@@ -59,7 +59,7 @@
     }
 
     /** @param route null where the request found none */
-    void ended(@Nullable Route route, AnswerWriter.Result result, long waitMs, long totalMs, long pauseMs) {
+    void ended(@Nullable Route route, ResponseWriter.Result result, long waitMs, long totalMs, long pauseMs) {
         openRequests.dec();
         mark(outcomes.get(result.outcome()));
         if (result.failure() != null) {
@@ -98,8 +98,8 @@
                     registry.timer(prefix + ".longest_pause"));
         }
 
-        void ended(AnswerWriter.Outcome outcome, long waitMs, long pauseMs) {
-            if (outcome != AnswerWriter.Outcome.ANSWERED) {
+        void ended(ResponseWriter.Outcome outcome, long waitMs, long pauseMs) {
+            if (outcome != ResponseWriter.Outcome.ANSWERED) {
                 others.mark();
                 return;
             }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerServer.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerServer.java
@@ -87,7 +87,7 @@
                         UndertowOptions.NO_REQUEST_TIMEOUT, options.times().idleTimeoutMs())
                 .setServerOption(
                         UndertowOptions.MAX_ENTITY_SIZE,
-                        options.maxBodyBytes() + 2 * LingeringRefusal.MAX_DRAINED_BYTES)
+                        options.maxBodyBytes() + 2 * LingeringClose.MAX_DRAINED_BYTES)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, true)
                 .setSocketOption(Options.CONNECTION_HIGH_WATER, options.maxConnections())
                 .setSocketOption(Options.CONNECTION_LOW_WATER, options.maxConnections())
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/UsualPatience.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerTimeoutEstimate.java
@@ -14,7 +14,7 @@
  * requests that were late already, and as many new ones were made late by that. A caller with a short patience of its
  * own is taken for one that comes back; it is served after the others and no worse.
  */
-final class UsualPatience {
+final class CallerTimeoutEstimate {
     /** The newest so many requests of a route are counted. */
     private static final int COUNTED = 128;
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ConnectionUse.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ConnectionReusePolicy.java
@@ -13,7 +13,7 @@
  * <p>Callers keep connections open for reuse. If idle connections filled the instance's limit, new ones would not be accepted
  * and their requests would time out unread. Above a share of the limit each response therefore closes its connection.
  */
-final class ConnectionUse {
+final class ConnectionReusePolicy {
     /** Spreads the round trip of a new connection over enough requests to be negligible. */
     private static final int REQUESTS_PER_CONNECTION = 16;
     /** Share of the connection limit up to which idle connections are kept. */
@@ -24,13 +24,13 @@
     private final AtomicInteger open = new AtomicInteger();
     private final double mostKept;
 
-    private ConnectionUse(double mostKept) {
+    private ConnectionReusePolicy(double mostKept) {
         this.mostKept = mostKept;
     }
 
     /** @param maxConnections the limit on accepted connections */
-    static ConnectionUse within(int maxConnections) {
-        return new ConnectionUse(KEPT_SHARE * maxConnections);
+    static ConnectionReusePolicy within(int maxConnections) {
+        return new ConnectionReusePolicy(KEPT_SHARE * maxConnections);
     }
 
     /** Counts a request on a connection; true if the connection is to be closed after the response. */
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/TruthfulStatus.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/FailureStatus.java
@@ -8,12 +8,12 @@
  * Gives a failure the status that says no more than is known. Callers on routes know no problem bodies; they go by the
  * status alone, where 503 and 429 promise that the request has not run and never will, and 502 and 504 promise nothing.
  */
-final class TruthfulStatus {
+final class FailureStatus {
     private static final int FIRST_SERVER_ERROR = 500;
     private static final int GATEWAY_TIMEOUT = 504;
     private static final long RETRY_AFTER_MS = 1_000;
 
-    private TruthfulStatus() {}
+    private FailureStatus() {}
 
     static Failure of(Failure failure) {
         int status = failure.type().httpStatus();
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardHandler.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardHandler.java
@@ -43,11 +43,11 @@
     private final RequestSubmitter gate;
     private final Supplier<RoutedSettings> settings;
     private final ApiKeys apiKeys;
-    private final ConnectionUse connections;
+    private final ConnectionReusePolicy connections;
     private final BooleanSupplier leaving;
     private final BooleanSupplier behind;
     private final MemoryBudget budget;
-    private final Map<String, UsualPatience> patience = new ConcurrentHashMap<>();
+    private final Map<String, CallerTimeoutEstimate> patience = new ConcurrentHashMap<>();
     private final LongSupplier clockMs;
     private final CallerMetrics metrics;
 
@@ -66,7 +66,7 @@
         this.gate = gate;
         this.settings = settings;
         this.apiKeys = ApiKeys.create();
-        this.connections = ConnectionUse.within(options.maxConnections());
+        this.connections = ConnectionReusePolicy.within(options.maxConnections());
         this.leaving = leaving;
         this.behind = behind;
         this.budget = budget;
@@ -182,14 +182,14 @@
             refuse(caller, Failure.notRun(ErrorType.NO_TARGET_IN_TIME, NOT_READY_RETRY_AFTER_MS, poolId.name()));
             return;
         }
-        AnswerBuffer buffer = AnswerBuffer.create(
-                new AnswerBuffer.Limits(options.maxUnreadBytes(), 0),
+        ResponseBuffer buffer = ResponseBuffer.create(
+                new ResponseBuffer.Limits(options.maxUnreadBytes(), 0),
                 false,
                 budget,
                 (end, bytes) -> budget.release(body.length));
-        AnswerWriter.Times times = new AnswerWriter.Times(
+        ResponseWriter.Times times = new ResponseWriter.Times(
                 options.times().keepAliveMs(), options.times().idleTimeoutMs());
-        AnswerWriter.unchanged(caller.http(), requestId, times, new CallListener(caller, requestId))
+        ResponseWriter.unchanged(caller.http(), requestId, times, new CallListener(caller, requestId))
                 .start(buffer);
         RoutedCall call =
                 new RoutedCall(requestId, Objects.requireNonNull(caller.customer()), current, route, pool, metadata);
@@ -198,12 +198,12 @@
         gate.submit(
                 call.spec(clockMs.getAsLong(), elapsedMs(route, metadata)).withDigest(digest),
                 call.toTarget(caller.http(), decoder, headers, body, System.nanoTime()),
-                new AnswerRelay(buffer, new PartsHeard(caller), TruthfulStatus::of));
+                new ResponseRelay(buffer, new PartsHeard(caller), FailureStatus::of));
     }
 
     /** How long ago the caller asked for the first time; a try that comes after a refusal is late sooner. */
     private long elapsedMs(Route route, CallMetadata metadata) {
-        return patience.computeIfAbsent(route.name(), missing -> new UsualPatience())
+        return patience.computeIfAbsent(route.name(), missing -> new CallerTimeoutEstimate())
                 .elapsedMs(metadata.timeoutMs());
     }
 
@@ -235,7 +235,7 @@
     }
 
     /** Follows the parts of the target's answer. */
-    private final class PartsHeard implements AnswerRelay.Progress {
+    private final class PartsHeard implements ResponseRelay.Progress {
         private final CallerExchange caller;
 
         PartsHeard(CallerExchange caller) {
@@ -249,7 +249,7 @@
     }
 
     /** Follows the writing to the caller. */
-    private final class CallListener implements AnswerWriter.Listener {
+    private final class CallListener implements ResponseWriter.Listener {
         private final CallerExchange caller;
         private final long requestId;
 
@@ -275,7 +275,7 @@
         }
 
         @Override
-        public void onEnd(AnswerWriter.Result result) {
+        public void onEnd(ResponseWriter.Result result) {
             if (result.abandoned()) {
                 gate.callerGone(requestId);
             }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardServer.java
@@ -90,7 +90,7 @@
                 .set(UndertowOptions.MAX_HEADERS, MAX_HEADERS)
                 .set(UndertowOptions.REQUEST_PARSE_TIMEOUT, limits.headTimeoutMs())
                 .set(UndertowOptions.NO_REQUEST_TIMEOUT, limits.idleTimeoutMs())
-                .set(UndertowOptions.MAX_ENTITY_SIZE, limits.maxBodyBytes() + 2 * LingeringRefusal.MAX_DRAINED_BYTES)
+                .set(UndertowOptions.MAX_ENTITY_SIZE, limits.maxBodyBytes() + 2 * LingeringClose.MAX_DRAINED_BYTES)
                 .set(UndertowOptions.DECODE_URL, false)
                 .set(UndertowOptions.ALWAYS_SET_DATE, true)
                 .getMap();
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/HomeQueries.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/HomeQueries.java
@@ -45,7 +45,7 @@
     }
 
     /** @param answer called once, by any thread */
-    void ask(CustomerId customer, RequestKey key, long nowMs, Consumer<HomeAnswer> answer) {
+    void ask(CustomerId customer, RequestKey key, long nowMs, Consumer<HomeQueryResult> answer) {
         long queryId;
         synchronized (this) {
             queryId = open.size() < MAX_OPEN ? ++lastQueryId : 0;
@@ -54,7 +54,7 @@
             }
         }
         if (queryId == 0) {
-            answer.accept(new HomeAnswer.Unknown(RETRY_AFTER_MS));
+            answer.accept(new HomeQueryResult.Unknown(RETRY_AFTER_MS));
             return;
         }
         peers.send(key.home(), new PeerMessage.KeyQuery(queryId, key.toString(), customer));
@@ -71,20 +71,20 @@
         }
         // Another incarnation answers: the one that knew is gone for good, and asking again would not help.
         boolean knows = query.key.incarnation() == fromIncarnation;
-        query.answer.accept(knows ? answer(query.key, reply.state()) : new HomeAnswer.Unknown(0));
+        query.answer.accept(knows ? answer(query.key, reply.state()) : new HomeQueryResult.Unknown(0));
     }
 
-    private HomeAnswer answer(RequestKey key, KeyState state) {
+    private HomeQueryResult answer(RequestKey key, KeyState state) {
         return switch (state) {
-            case NEVER_SEEN, DEAD -> new HomeAnswer.NotRun();
-            case FORGOTTEN -> new HomeAnswer.Unknown(0);
+            case NEVER_SEEN, DEAD -> new HomeQueryResult.NotRun();
+            case FORGOTTEN -> new HomeQueryResult.Unknown(0);
             case WAITING, SENT, ANSWERING, ENDED -> lives(key);
         };
     }
 
-    private HomeAnswer lives(RequestKey key) {
+    private HomeQueryResult lives(RequestKey key) {
         HostPort address = addresses.apply(key.home());
-        return address == null ? new HomeAnswer.Unknown(RETRY_AFTER_MS) : new HomeAnswer.Lives(address);
+        return address == null ? new HomeQueryResult.Unknown(RETRY_AFTER_MS) : new HomeQueryResult.Lives(address);
     }
 
     /** Ends the queries whose time is over. */
@@ -100,8 +100,8 @@
                 }
             }
         }
-        over.forEach(query -> query.answer.accept(new HomeAnswer.Unknown(RETRY_AFTER_MS)));
+        over.forEach(query -> query.answer.accept(new HomeQueryResult.Unknown(RETRY_AFTER_MS)));
     }
 
-    private record Query(RequestKey key, long deadlineMs, Consumer<HomeAnswer> answer) {}
+    private record Query(RequestKey key, long deadlineMs, Consumer<HomeQueryResult> answer) {}
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/KeyAdmission.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/KeyAdmission.java
@@ -5,10 +5,10 @@
 /** What a try with a key of this home has got. */
 sealed interface KeyAdmission {
     /** The request is this try's to run. */
-    record Started(KeyedAnswer answer) implements KeyAdmission {}
+    record Started(KeyedResponse answer) implements KeyAdmission {}
 
     /** An earlier try began it; its answer is to be followed from its first byte. */
-    record Found(KeyedAnswer answer) implements KeyAdmission {}
+    record Found(KeyedResponse answer) implements KeyAdmission {}
 
     record Refused(Failure failure) implements KeyAdmission {}
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/LagProbe.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/LagProbe.java
@@ -16,7 +16,7 @@
     private final XnioExecutor thread;
     private final LongSupplier decisionsLagMs;
     private final LongSupplier clockMs;
-    private final StandingLag lag = new StandingLag();
+    private final PersistentLagDetector lag = new PersistentLagDetector();
     private long dueMs;
     private volatile boolean closed;
 
@@ -42,9 +42,9 @@
     }
 
     private void sampleLater() {
-        dueMs = clockMs.getAsLong() + StandingLag.SAMPLE_MS;
+        dueMs = clockMs.getAsLong() + PersistentLagDetector.SAMPLE_MS;
         try {
-            thread.executeAfter(this::sample, StandingLag.SAMPLE_MS, TimeUnit.MILLISECONDS);
+            thread.executeAfter(this::sample, PersistentLagDetector.SAMPLE_MS, TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
             LOG.debug("lag_probe_closed_late", "reason", String.valueOf(e.getMessage()));
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/LingeringRefusal.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/LingeringClose.java
@@ -21,7 +21,7 @@
  * refusal before it reads it: all it sees is a broken connection, and it does not know why. So the rest of the body is
  * read and thrown away for a short time, {@value #MAX_DRAINED_BYTES} bytes at most, while the caller reads the refusal.
  */
-final class LingeringRefusal implements IoCallback {
+final class LingeringClose implements IoCallback {
     static final long MAX_DRAINED_BYTES = 16L << 20;
     private static final int LINGER_MS = 2_000;
 
@@ -31,7 +31,7 @@
     private long drainedBytes;
     private boolean over;
 
-    private LingeringRefusal(HttpServerExchange exchange, StreamSourceChannel input) {
+    private LingeringClose(HttpServerExchange exchange, StreamSourceChannel input) {
         this.exchange = exchange;
         this.input = input;
     }
@@ -50,7 +50,7 @@
         if (input == null) {
             return Replies.sendProblem(exchange, failure, requestId);
         }
-        return Replies.sendProblem(exchange, failure, requestId, new LingeringRefusal(exchange, input));
+        return Replies.sendProblem(exchange, failure, requestId, new LingeringClose(exchange, input));
     }
 
     /** Null where no body comes: there is none, or its caller waits for leave to send it. */
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/StandingLag.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/PersistentLagDetector.java
@@ -13,7 +13,7 @@
  *
  * <p>Cost: constant. Safe for one thread that samples and any that ask.
  */
-final class StandingLag {
+final class PersistentLagDetector {
     /** Interval between samples. */
     static final long SAMPLE_MS = 20;
     /** A small part of the shortest latency objectives, which begin at some hundred milliseconds. */
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/RequestKeys.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/RequestKeys.java
@@ -37,9 +37,9 @@
     private final LongSupplier clockMs;
     private final LongSupplier wallClockMs;
     private final KeyRegistry registry;
-    private final KeptAnswers kept;
+    private final ResponseCache kept;
     private final HomeQueries queries;
-    private final Map<Long, KeyedAnswer> answers = new HashMap<>();
+    private final Map<Long, KeyedResponse> answers = new HashMap<>();
     private long sweptMs;
 
     private RequestKeys(
@@ -54,7 +54,7 @@
         this.clockMs = clockMs;
         this.wallClockMs = wallClockMs;
         this.registry = KeyRegistry.create(options.keyLimits());
-        this.kept = KeptAnswers.of(options.maxKeptBytes());
+        this.kept = ResponseCache.of(options.maxKeptBytes());
         this.queries = queries;
     }
 
@@ -132,10 +132,10 @@
      * @param answer made where the request starts, with {@code requestId}
      */
     synchronized KeyAdmission begin(
-            CustomerId customer, RequestKey key, long fingerprint, long requestId, Supplier<KeyedAnswer> answer) {
+            CustomerId customer, RequestKey key, long fingerprint, long requestId, Supplier<KeyedResponse> answer) {
         KeyVerdict verdict = registry.present(customer, key, fingerprint, requestId, wallClockMs.getAsLong());
         if (verdict instanceof KeyVerdict.Start) {
-            KeyedAnswer started = answer.get();
+            KeyedResponse started = answer.get();
             answers.put(requestId, started);
             return new KeyAdmission.Started(started);
         }
@@ -168,9 +168,9 @@
     }
 
     /** Finds out what became of a key of another home. */
-    void ask(CustomerId customer, RequestKey key, Consumer<HomeAnswer> answer) {
+    void ask(CustomerId customer, RequestKey key, Consumer<HomeQueryResult> answer) {
         if (key.home().equals(self.id())) {
-            answer.accept(new HomeAnswer.Unknown(0)); // an earlier incarnation of this instance
+            answer.accept(new HomeQueryResult.Unknown(0)); // an earlier incarnation of this instance
             return;
         }
         queries.ask(customer, key, clockMs.getAsLong(), answer);
@@ -184,26 +184,26 @@
         registry.answering(requestId);
     }
 
-    void ended(KeyedAnswer answer, AnswerEnd end, long bytes) {
+    void ended(KeyedResponse answer, ResponseEnd end, long bytes) {
         boolean notRun =
-                end instanceof AnswerEnd.Failed failed && failed.failure().run() == RunState.NOT_RUN;
-        List<AnswerBuffer> dropped;
+                end instanceof ResponseEnd.Failed failed && failed.failure().run() == RunState.NOT_RUN;
+        List<ResponseBuffer> dropped;
         synchronized (this) {
             registry.ended(answer.requestId(), notRun, wallClockMs.getAsLong());
             dropped = notRun
                     ? drop(List.of(answer.requestId()))
                     : drop(kept.add(answer.customer(), answer.requestId(), bytes));
         }
-        dropped.forEach(AnswerBuffer::discard);
+        dropped.forEach(ResponseBuffer::discard);
     }
 
-    private List<AnswerBuffer> drop(List<Long> requestIds) {
+    private List<ResponseBuffer> drop(List<Long> requestIds) {
         requestIds.forEach(registry::answerDropped);
         requestIds.forEach(kept::remove);
         return requestIds.stream()
                 .map(answers::remove)
                 .filter(Objects::nonNull)
-                .map(KeyedAnswer::buffer)
+                .map(KeyedResponse::buffer)
                 .toList();
     }
 
@@ -211,7 +211,7 @@
     void tick() {
         long nowMs = clockMs.getAsLong();
         queries.tick(nowMs);
-        List<AnswerBuffer> dropped;
+        List<ResponseBuffer> dropped;
         synchronized (this) {
             if (nowMs - sweptMs < SWEEP_MS) {
                 return;
@@ -219,7 +219,7 @@
             sweptMs = nowMs;
             dropped = drop(registry.expire(wallClockMs.getAsLong()));
         }
-        dropped.forEach(AnswerBuffer::discard);
+        dropped.forEach(ResponseBuffer::discard);
     }
 
     synchronized int size() {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/AnswerBuffer.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ResponseBuffer.java
@@ -23,7 +23,7 @@
  *
  * <p>All methods may be called by any thread; the lock is held for a few steps only and never while a reader is told.
  */
-final class AnswerBuffer implements ResponseListener {
+final class ResponseBuffer implements ResponseListener {
     /** How far a reader may be behind once the memory of all answers is spent; enough for one that keeps reading. */
     private static final int TIGHT_UNREAD_BYTES = 16 << 10;
 
@@ -35,10 +35,10 @@
     private long firstChunk;
     private long totalBytes;
     private boolean kept;
-    private @Nullable AnswerHead head;
-    private @Nullable AnswerEnd end;
+    private @Nullable ResponseHead head;
+    private @Nullable ResponseEnd end;
 
-    private AnswerBuffer(Limits limits, boolean kept, MemoryBudget budget, EndListener endListener) {
+    private ResponseBuffer(Limits limits, boolean kept, MemoryBudget budget, EndListener endListener) {
         this.limits = limits;
         this.kept = kept;
         this.budget = budget;
@@ -55,16 +55,16 @@
 
     /** Hears of an answer's end, once, after the readers were told. */
     interface EndListener {
-        void onEnd(AnswerEnd end, long totalBytes);
+        void onEnd(ResponseEnd end, long totalBytes);
     }
 
     /** @param kept whether readers may begin after bytes were passed on */
-    static AnswerBuffer create(Limits limits, boolean kept, MemoryBudget budget, EndListener endListener) {
-        return new AnswerBuffer(limits, kept, budget, endListener);
+    static ResponseBuffer create(Limits limits, boolean kept, MemoryBudget budget, EndListener endListener) {
+        return new ResponseBuffer(limits, kept, budget, endListener);
     }
 
     /** A cursor at the answer's first byte, or null where that is not held any more. */
-    synchronized @Nullable Cursor open(AnswerReader reader) {
+    synchronized @Nullable Cursor open(ResponseReader reader) {
         if (firstChunk > 0) {
             return null;
         }
@@ -90,7 +90,7 @@
     public void onHead(int status, Map<String, String> headers) {
         List<Cursor> told;
         synchronized (this) {
-            head = new AnswerHead(status, Map.copyOf(headers));
+            head = new ResponseHead(status, Map.copyOf(headers));
             told = List.copyOf(cursors);
         }
         told.forEach(cursor -> cursor.reader.onMore());
@@ -115,15 +115,15 @@
 
     @Override
     public void onComplete() {
-        end(new AnswerEnd.Complete());
+        end(new ResponseEnd.Complete());
     }
 
     @Override
     public void onFailure(Failure failure) {
-        end(new AnswerEnd.Failed(failure));
+        end(new ResponseEnd.Failed(failure));
     }
 
-    private void end(AnswerEnd answerEnd) {
+    private void end(ResponseEnd answerEnd) {
         List<Cursor> told;
         long bytes;
         synchronized (this) {
@@ -181,25 +181,25 @@
 
     /** One reader's place in the answer; used by that reader's thread alone. */
     final class Cursor {
-        private final AnswerReader reader;
+        private final ResponseReader reader;
         private long nextChunk;
         private long readBytes;
 
-        private Cursor(AnswerReader reader) {
+        private Cursor(ResponseReader reader) {
             this.reader = reader;
         }
 
         /** The head, or null while there is none. */
         @Nullable
-        AnswerHead head() {
-            synchronized (AnswerBuffer.this) {
+        ResponseHead head() {
+            synchronized (ResponseBuffer.this) {
                 return head;
             }
         }
 
         /** The next bytes, or null where there are none now. */
         byte @Nullable [] next() {
-            synchronized (AnswerBuffer.this) {
+            synchronized (ResponseBuffer.this) {
                 int index = (int) (nextChunk - firstChunk);
                 if (index >= chunks.size() || !cursors.contains(this)) {
                     return null;
@@ -214,8 +214,8 @@
 
         /** How the answer ended, or null while it goes on or bytes are left to read. */
         @Nullable
-        AnswerEnd end() {
-            synchronized (AnswerBuffer.this) {
+        ResponseEnd end() {
+            synchronized (ResponseBuffer.this) {
                 boolean readAll = nextChunk == firstChunk + chunks.size();
                 return readAll ? end : null;
             }
@@ -223,14 +223,14 @@
 
         /** The whole length, where the answer has ended completely and this reader has read nothing; else -1. */
         long knownLength() {
-            synchronized (AnswerBuffer.this) {
-                return nextChunk == 0 && end instanceof AnswerEnd.Complete ? totalBytes : -1;
+            synchronized (ResponseBuffer.this) {
+                return nextChunk == 0 && end instanceof ResponseEnd.Complete ? totalBytes : -1;
             }
         }
 
         /** The reader goes. */
         void close() {
-            synchronized (AnswerBuffer.this) {
+            synchronized (ResponseBuffer.this) {
                 cursors.remove(this);
                 trim();
             }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/KeptAnswers.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ResponseCache.java
@@ -11,18 +11,18 @@
  * Decides which ended answers are kept for later tries. Beyond the limit the customer that holds the most bytes loses
  * its oldest answers, so that one with many or large answers cannot take the others' replays away. Not thread-safe.
  */
-final class KeptAnswers {
+final class ResponseCache {
     private final long maxBytes;
     private final Map<CustomerId, Share> shares = new HashMap<>();
     private final Map<Long, CustomerId> owners = new HashMap<>();
     private long bytes;
 
-    private KeptAnswers(long maxBytes) {
+    private ResponseCache(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    static KeptAnswers of(long maxBytes) {
-        return new KeptAnswers(maxBytes);
+    static ResponseCache of(long maxBytes) {
+        return new ResponseCache(maxBytes);
     }
 
     /** Keeps one more; answers the requests whose answers are given up for it. */
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/AnswerReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ResponseReader.java
@@ -1,7 +1,7 @@
 package org.marjoramswitch.daemon.caller;
 
 /** One that follows an answer. Both calls come from any thread and must not block. */
-interface AnswerReader {
+interface ResponseReader {
     /** There is more to read: a head, bytes or the end. */
     void onMore();
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/AnswerRelay.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ResponseRelay.java
@@ -10,7 +10,7 @@
  *
  * @param told makes of a failure what the caller is told
  */
-record AnswerRelay(AnswerBuffer buffer, Progress progress, UnaryOperator<Failure> told) implements ResponseListener {
+record ResponseRelay(ResponseBuffer buffer, Progress progress, UnaryOperator<Failure> told) implements ResponseListener {
     /** Hears how far the request has come. */
     interface Progress {
         Progress NONE = new Progress() {};
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/AnswerWriter.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ResponseWriter.java
@@ -24,7 +24,7 @@
  * Writes one answer to one caller without blocking, all on the connection's IO thread.
  *
  * <p>The rule that this class keeps: the end of a chunked body, or the last of the announced bytes, is written if and
- * only if the answer's end is {@link AnswerEnd.Complete}. A failure before the head becomes a problem body. A failure
+ * only if the answer's end is {@link ResponseEnd.Complete}. A failure before the head becomes a problem body. A failure
  * after it ends an event stream with an {@code error} event that holds the problem, and in any case the connection is
  * then closed in the middle of the body, which every HTTP/1.1 client reports as an error. So a part never passes for
  * the whole.
@@ -32,10 +32,10 @@
  * <p>While an event stream has nothing to send, a comment goes out every few seconds: the caller sees that the
  * connection still carries, and this side learns by the failing write where it does not.
  *
- * <p>A caller that does not read is cut in two cases: it is too many bytes behind ({@link AnswerBuffer} decides), or it
+ * <p>A caller that does not read is cut in two cases: it is too many bytes behind ({@link ResponseBuffer} decides), or it
  * has taken no byte for the stall timeout.
  */
-final class AnswerWriter implements AnswerReader {
+final class ResponseWriter implements ResponseReader {
     private static final byte[] KEEP_ALIVE = ": keep-alive\n\n".getBytes(StandardCharsets.UTF_8);
     private static final String EVENT_STREAM = "text/event-stream";
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
@@ -47,7 +47,7 @@
     private final boolean unchanged;
     private final AtomicBoolean scheduled = new AtomicBoolean();
     private final AtomicBoolean dropped = new AtomicBoolean();
-    private AnswerBuffer.@Nullable Cursor cursor;
+    private ResponseBuffer.@Nullable Cursor cursor;
     private @Nullable CallerWatch watch;
     private @Nullable StreamSinkChannel channel;
     private @Nullable EventFramer framer;
@@ -61,7 +61,7 @@
     private long writtenAtLastTick;
     private long stalledMs;
 
-    private AnswerWriter(
+    private ResponseWriter(
             HttpServerExchange exchange, long requestId, Times times, Listener listener, boolean unchanged) {
         this.unchanged = unchanged;
         this.exchange = exchange;
@@ -115,18 +115,18 @@
         SLOW_CALLER
     }
 
-    static AnswerWriter of(HttpServerExchange exchange, long requestId, Times times, Listener listener) {
-        return new AnswerWriter(exchange, requestId, times, listener, false);
+    static ResponseWriter of(HttpServerExchange exchange, long requestId, Times times, Listener listener) {
+        return new ResponseWriter(exchange, requestId, times, listener, false);
     }
 
     /** A writer that adds nothing of its own to an answer: what the caller gets is what the target sent, or cut. */
-    static AnswerWriter unchanged(HttpServerExchange exchange, long requestId, Times times, Listener listener) {
-        return new AnswerWriter(exchange, requestId, times, listener, true);
+    static ResponseWriter unchanged(HttpServerExchange exchange, long requestId, Times times, Listener listener) {
+        return new ResponseWriter(exchange, requestId, times, listener, true);
     }
 
     /** Begins to follow the answer; false where its first bytes are not held any more. */
-    boolean start(AnswerBuffer buffer) {
-        AnswerBuffer.Cursor opened = buffer.open(this);
+    boolean start(ResponseBuffer buffer) {
+        ResponseBuffer.Cursor opened = buffer.open(this);
         if (opened == null) {
             return false;
         }
@@ -184,17 +184,17 @@
 
     /** Writes the head, or the problem where there is no answer; false where neither is known yet. */
     private boolean begin() throws IOException {
-        AnswerBuffer.Cursor source = Objects.requireNonNull(cursor);
-        AnswerHead head = source.head();
+        ResponseBuffer.Cursor source = Objects.requireNonNull(cursor);
+        ResponseHead head = source.head();
         if (head != null) {
             writeHead(head, source.knownLength());
             return true;
         }
-        AnswerEnd end = source.end();
+        ResponseEnd end = source.end();
         if (end == null) {
             return false;
         }
-        refuse(end instanceof AnswerEnd.Failed failed ? failed.failure() : emptyAnswer(), Outcome.REFUSED);
+        refuse(end instanceof ResponseEnd.Failed failed ? failed.failure() : emptyAnswer(), Outcome.REFUSED);
         return false;
     }
 
@@ -210,7 +210,7 @@
         return Failure.unknown(ErrorType.INTERNAL, "an answer without a head");
     }
 
-    private void writeHead(AnswerHead head, long knownLength) {
+    private void writeHead(ResponseHead head, long knownLength) {
         exchange.setStatusCode(head.status());
         HeaderMap headers = exchange.getResponseHeaders();
         head.headers().forEach((name, value) -> headers.put(new HttpString(name), value));
@@ -237,18 +237,18 @@
 
     /** Puts the next bytes into {@code pending}; false where there are none now. */
     private boolean fill() {
-        AnswerBuffer.Cursor source = Objects.requireNonNull(cursor);
+        ResponseBuffer.Cursor source = Objects.requireNonNull(cursor);
         byte[] next = source.next();
         if (next != null) {
             pending = ByteBuffer.wrap(framer == null ? next : framer.accept(next));
             return true;
         }
-        AnswerEnd end = source.end();
+        ResponseEnd end = source.end();
         if (end == null) {
             return false;
         }
         lastPart = true;
-        if (end instanceof AnswerEnd.Failed failed) {
+        if (end instanceof ResponseEnd.Failed failed) {
             cutBy = failed.failure();
         }
         pending = ByteBuffer.wrap(lastBytes(cutBy));
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/Routes.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/Routes.java
@@ -89,6 +89,6 @@
         if (exchange.isResponseStarted()) {
             return;
         }
-        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> LingeringRefusal.send(exchange, null, failure, 0));
+        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> LingeringClose.send(exchange, null, failure, 0));
     }
 }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/CallerServerTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/CallerServerTest.java
@@ -58,7 +58,7 @@
         CompletableFuture<HttpResponse<String>> response = fixture.client.sendAsync(
                 fixture.chat(Fixture.CHAT, b -> b.header("Priority", "u=1, i").header("Repeatable", "no")),
                 BodyHandlers.ofString());
-        FakeGate.Submitted call = fixture.gate.next();
+        FakeRequestSubmitter.Submitted call = fixture.gate.next();
         assertEquals(1, call.spec().urgency());
         assertFalse(call.spec().repeatable());
         assertEquals(Fixture.ONE, call.spec().customer());
@@ -77,7 +77,7 @@
                         .PUT(HttpRequest.BodyPublishers.ofString("body"))
                         .build(),
                 BodyHandlers.ofString());
-        FakeGate.Submitted call = fixture.gate.next();
+        FakeRequestSubmitter.Submitted call = fixture.gate.next();
         assertEquals("PUT", call.call().method());
         assertEquals("/cells/7%2F8/stop?ack=1&x=%20", call.call().path());
         assertEquals("kept", call.call().headers().get("X-Own"));
@@ -157,7 +157,7 @@
     void anEventStreamPassesWholeEventsAndKeepsAlive() throws Exception {
         restart(withTimes(10_000, 20).build());
         try (Socket socket = openStream()) {
-            FakeGate.Submitted call = fixture.gate.next();
+            FakeRequestSubmitter.Submitted call = fixture.gate.next();
             assertTrue(call.call().streaming());
             call.head(200, SSE);
             call.bytes("data: 1\n\ndata: 2");
@@ -184,7 +184,7 @@
     @Test
     void aBreakInAStreamIsMarkedAndNeverLooksComplete() throws Exception {
         try (Socket socket = openStream()) {
-            FakeGate.Submitted call = fixture.gate.next();
+            FakeRequestSubmitter.Submitted call = fixture.gate.next();
             call.head(200, SSE);
             call.bytes("data: 1\n\ndata: hal");
             call.answer().onFailure(Failure.unknown(ErrorType.TARGET_BROKE, "reset"));
@@ -201,7 +201,7 @@
     void aBreakInAWholeAnswerIsAnErrorAtTheClient() throws Exception {
         CompletableFuture<HttpResponse<String>> response =
                 fixture.client.sendAsync(fixture.chat(Fixture.CHAT, b -> b), BodyHandlers.ofString());
-        FakeGate.Submitted call = fixture.gate.next();
+        FakeRequestSubmitter.Submitted call = fixture.gate.next();
         call.head(200, "application/json");
         call.bytes("{\"part\":");
         call.answer().onFailure(Failure.unknown(ErrorType.TARGET_BROKE, "reset"));
@@ -253,14 +253,14 @@
     @Test
     void aCallerThatLeavesIsNoticedWhileItsRequestWaits() throws Exception {
         try (Socket socket = openStream()) {
-            FakeGate.Submitted call = fixture.gate.next();
+            FakeRequestSubmitter.Submitted call = fixture.gate.next();
             socket.shutdownOutput();
             Fixture.await(() -> fixture.gate.gone.contains(call.spec().requestId()));
             String all = Fixture.readAll(socket);
             assertTrue(all.startsWith("HTTP/1.1 499") && all.contains("caller-gone"), all);
         }
         Socket closed = openStream();
-        FakeGate.Submitted call = fixture.gate.next();
+        FakeRequestSubmitter.Submitted call = fixture.gate.next();
         closed.close();
         Fixture.await(() -> fixture.gate.gone.contains(call.spec().requestId()));
     }
@@ -270,7 +270,7 @@
     void aCallerThatDoesNotReadIsCutAlone() throws Exception {
         restart(CallerOptions.builder().maxUnreadBytes(64 << 10).build());
         try (Socket slow = openStream()) {
-            FakeGate.Submitted call = fixture.gate.next();
+            FakeRequestSubmitter.Submitted call = fixture.gate.next();
             call.head(200, SSE);
             String event = "data: " + "x".repeat(16 << 10) + "\n\n";
             for (int i = 0; i < 2_000 && !fixture.gate.gone.contains(call.spec().requestId()); i++) {
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/UsualPatienceTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/CallerTimeoutEstimateTest.java
@@ -4,8 +4,8 @@
 
 import org.junit.jupiter.api.Test;
 
-class UsualPatienceTest {
-    private final UsualPatience patience = new UsualPatience();
+class CallerTimeoutEstimateTest {
+    private final CallerTimeoutEstimate patience = new CallerTimeoutEstimate();
 
     @Test
     void aFirstTryHasWaitedForNothing() {
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/TruthfulStatusTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/FailureStatusTest.java
@@ -9,18 +9,18 @@
 import org.marjoramswitch.kernel.error.ErrorType;
 import org.marjoramswitch.kernel.error.Failure;
 
-class TruthfulStatusTest {
+class FailureStatusTest {
     /** A caller that is told 503 or 429 sends its request again; one that may have run must not be told so. */
     @ParameterizedTest
     @EnumSource(ErrorType.class)
     void whatMayHaveRunIsNeverPromisedNotToHave(ErrorType type) {
-        int status = TruthfulStatus.of(Failure.unknown(type, "")).type().httpStatus();
+        int status = FailureStatus.of(Failure.unknown(type, "")).type().httpStatus();
         assertTrue(status != 503 && status != 429, type + " " + status);
     }
 
     @Test
     void whatDidNotRunIsSaidSo() {
-        Failure told = TruthfulStatus.of(Failure.notRun(ErrorType.TARGET_REFUSED, 0, "t1"));
+        Failure told = FailureStatus.of(Failure.notRun(ErrorType.TARGET_REFUSED, 0, "t1"));
         assertEquals(503, told.type().httpStatus());
         assertTrue(told.retryAfterMs() > 0);
     }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/FakeGate.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/FakeRequestSubmitter.java
@@ -15,7 +15,7 @@
 import org.marjoramswitch.kernel.model.RequestSpec;
 
 /** Hands what was submitted to the test, which plays the targets. */
-final class FakeGate implements RequestSubmitter {
+final class FakeRequestSubmitter implements RequestSubmitter {
     private final AtomicLong lastRequestId = new AtomicLong();
     private final BlockingQueue<Submitted> submitted = new LinkedBlockingQueue<>();
     private final Map<Long, ResponseListener> listeners = new ConcurrentHashMap<>();
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/Fixture.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/Fixture.java
@@ -40,7 +40,7 @@
     static final long INCARNATION = 7;
     private static final int SOCKET_TIMEOUT_MS = 10_000;
 
-    final FakeGate gate = new FakeGate();
+    final FakeRequestSubmitter gate = new FakeRequestSubmitter();
     final MetricRegistry metrics = new MetricRegistry();
     final HttpClient client = HttpClient.newHttpClient();
     volatile FleetSettings settings = settings();
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/ForwardServerTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/ForwardServerTest.java
@@ -53,7 +53,7 @@
                         Map.of(),
                         CallerOptions.builder().maxConnections(MOST_CONNECTIONS).build(),
                         new PlainDecoder(),
-                        new FakeGate(),
+                        new FakeRequestSubmitter(),
                         () -> RoutedSettings.NONE,
                         () -> false,
                         decisionsLagMs::get,
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/StandingLagTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/PersistentLagDetectorTest.java
@@ -5,8 +5,8 @@
 
 import org.junit.jupiter.api.Test;
 
-class StandingLagTest {
-    private final StandingLag lag = new StandingLag();
+class PersistentLagDetectorTest {
+    private final PersistentLagDetector lag = new PersistentLagDetector();
 
     @Test
     void anInstanceThatIsLateAllTheTimeIsBehind() {
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/RawInputTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/RawInputTest.java
@@ -108,7 +108,7 @@
             String first = Fixture.rawHead("GET", "/services/cell-gateway/1");
             Fixture.send(socket, first + first.replace("/1 ", "/2 "));
             fixture.gate.next().whole(200, "text/plain", "one");
-            FakeGate.Submitted second = fixture.gate.next();
+            FakeRequestSubmitter.Submitted second = fixture.gate.next();
             Fixture.send(socket, first.replace("/1 ", "/3 "));
             second.whole(200, "text/plain", "two");
             fixture.gate.next().whole(200, "text/plain", "three");
@@ -157,7 +157,7 @@
     void moreRequestsThanTheLimitAreRefused() throws Exception {
         try (Socket socket = fixture.connect()) {
             Fixture.send(socket, Fixture.rawHead("GET", "/services/cell-gateway/1"));
-            FakeGate.Submitted call = fixture.gate.next();
+            FakeRequestSubmitter.Submitted call = fixture.gate.next();
             String refused = answerTo(Fixture.rawHead("GET", "/services/cell-gateway/2"));
             assertTrue(refused.startsWith("HTTP/1.1 503 ") && refused.contains("entry-queue-full"), refused);
             call.whole(200, "text/plain", "one");
@@ -173,7 +173,7 @@
         try (Socket socket = fixture.connect()) {
             socket.setReceiveBufferSize(4 << 10);
             Fixture.send(socket, Fixture.rawHead("GET", "/services/cell-gateway/1"));
-            FakeGate.Submitted call = fixture.gate.next();
+            FakeRequestSubmitter.Submitted call = fixture.gate.next();
             call.head(200, "application/octet-stream");
             for (int i = 0; i < 4_000_000 / 1_000; i++) {
                 call.answer().onBytes(new byte[1_000]);
@@ -193,7 +193,7 @@
                             .method(method, HttpRequest.BodyPublishers.noBody())
                             .build(),
                     BodyHandlers.ofString());
-            FakeGate.Submitted call = fixture.gate.next();
+            FakeRequestSubmitter.Submitted call = fixture.gate.next();
             assertEquals(method + " /", call.call().method() + ' ' + call.call().path());
             call.head(304, "text/plain");
             call.answer().onComplete();
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/RequestKeysTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/RequestKeysTest.java
@@ -81,7 +81,7 @@
     @Test
     void aRetryFollowsTheRunningRequestAndAnEndedOneIsGivenAgain() throws Exception {
         String key = a.key("k1");
-        FakeGate.Submitted call;
+        FakeRequestSubmitter.Submitted call;
         try (Socket first = a.connect()) {
             Fixture.send(
                     first,
@@ -109,7 +109,7 @@
         first.get();
         refused(send(a, stop(a, Fixture.KEY_ONE, "Request-Key", key, "stop 8")), ErrorType.KEY_IN_USE, "not-run");
         CompletableFuture<HttpResponse<String>> other = send(a, stop(a, Fixture.KEY_TWO, "Request-Key", key, "stop 7"));
-        FakeGate.Submitted own = a.gate.next();
+        FakeRequestSubmitter.Submitted own = a.gate.next();
         assertEquals("two", own.spec().customer().name());
         own.whole(200, "text/plain", "own");
         assertEquals("own", other.get().body());
@@ -131,7 +131,7 @@
     void aRetryElsewhereIsSentToTheHome() throws Exception {
         String key = a.key("k1");
         CompletableFuture<HttpResponse<String>> first = send(a, keyed(a, key));
-        FakeGate.Submitted call = a.gate.next();
+        FakeRequestSubmitter.Submitted call = a.gate.next();
         HttpResponse<String> elsewhere = send(b, keyed(b, key)).get();
         assertEquals(307, elsewhere.statusCode());
         assertEquals(
@@ -181,7 +181,7 @@
     void aRefusedRetryOfARunningRequestSaysUnknown() throws Exception {
         String key = a.key("k1");
         CompletableFuture<HttpResponse<String>> first = send(a, keyed(a, key));
-        FakeGate.Submitted call = a.gate.next();
+        FakeRequestSubmitter.Submitted call = a.gate.next();
         HttpRequest malformed = a.request("/services/cell-gateway/stop")
                 .header("Request-Key", key)
                 .header("Repeatable", "perhaps")
@@ -235,7 +235,7 @@
     void anIdempotencyKeyRunsOnceInTheFleet() throws Exception {
         HttpRequest atA = stop(a, Fixture.KEY_ONE, "Idempotency-Key", "mine", "stop 7");
         CompletableFuture<HttpResponse<String>> first = send(a, atA);
-        FakeGate.Submitted call = a.gate.next();
+        FakeRequestSubmitter.Submitted call = a.gate.next();
         HttpResponse<String> second = send(b, stop(b, Fixture.KEY_ONE, "Idempotency-Key", "mine", "stop 7"))
                 .get();
         assertEquals(307, second.statusCode());
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/AnswerBufferTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/ResponseBufferTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 import org.marjoramswitch.kernel.model.CustomerId;
 
-class AnswerBufferTest {
+class ResponseBufferTest {
     private final MemoryBudget budget = MemoryBudget.of(1_000_000);
     private int ends;
 
-    private AnswerBuffer buffer(int unreadBytes, int keptBytes, boolean kept) {
-        return AnswerBuffer.create(
-                new AnswerBuffer.Limits(unreadBytes, keptBytes), kept, budget, (end, bytes) -> ends++);
+    private ResponseBuffer buffer(int unreadBytes, int keptBytes, boolean kept) {
+        return ResponseBuffer.create(
+                new ResponseBuffer.Limits(unreadBytes, keptBytes), kept, budget, (end, bytes) -> ends++);
     }
 
     private static byte[] bytes(int count) {
@@ -25,12 +25,12 @@
     }
 
     /** Reads all that is there. */
-    private static final class Reader implements AnswerReader {
+    private static final class Reader implements ResponseReader {
         private final StringBuilder read = new StringBuilder();
-        private AnswerBuffer.Cursor cursor;
+        private ResponseBuffer.Cursor cursor;
         private boolean dropped;
 
-        static Reader on(AnswerBuffer buffer) {
+        static Reader on(ResponseBuffer buffer) {
             Reader reader = new Reader();
             reader.cursor = buffer.open(reader);
             return reader;
@@ -57,7 +57,7 @@
 
     @Test
     void aReaderTooFarBehindIsDroppedAndItsBytesFreed() {
-        AnswerBuffer buffer = buffer(10, 0, false);
+        ResponseBuffer buffer = buffer(10, 0, false);
         Reader slow = Reader.on(buffer);
         Reader quick = Reader.on(buffer);
         buffer.onBytes(bytes(8));
@@ -73,18 +73,18 @@
 
     @Test
     void aKeptAnswerIsGivenWholeUntilItIsDiscardedOrTooLarge() {
-        AnswerBuffer buffer = buffer(100, 10, true);
+        ResponseBuffer buffer = buffer(100, 10, true);
         buffer.onBytes(bytes(10));
         Reader first = Reader.on(buffer);
         first.read(1);
         assertEquals(10, first.read.length());
-        AnswerBuffer.Cursor second = buffer.open(new Reader());
+        ResponseBuffer.Cursor second = buffer.open(new Reader());
         assertNotNull(second);
         second.close();
         buffer.discard();
         assertEquals(0, budget.usedBytes());
         assertNull(buffer.open(new Reader()));
-        AnswerBuffer large = buffer(100, 10, true);
+        ResponseBuffer large = buffer(100, 10, true);
         large.onBytes(bytes(11));
         assertNull(large.open(new Reader()));
     }
@@ -94,7 +94,7 @@
     // within its own limit, so that the memory comes back.
     @Test
     void readersThatAreBehindGoFirstWhenMemoryIsSpent() {
-        AnswerBuffer buffer = buffer(1 << 20, 0, false);
+        ResponseBuffer buffer = buffer(1 << 20, 0, false);
         Reader behind = Reader.on(buffer);
         Reader quick = Reader.on(buffer);
         buffer.onBytes(bytes(20_000));
@@ -109,7 +109,7 @@
 
     @Test
     void theEndIsToldOnceAndAfterTheLastByte() {
-        AnswerBuffer buffer = buffer(100, 0, false);
+        ResponseBuffer buffer = buffer(100, 0, false);
         Reader reader = Reader.on(buffer);
         buffer.onHead(200, java.util.Map.of());
         buffer.onBytes(bytes(1));
@@ -119,12 +119,12 @@
         assertEquals(1, reader.cursor.knownLength());
         assertNull(reader.cursor.end());
         reader.read(1);
-        assertEquals(new AnswerEnd.Complete(), reader.cursor.end());
+        assertEquals(new ResponseEnd.Complete(), reader.cursor.end());
     }
 
     @Test
     void theCustomerThatHoldsMostGivesUpItsOldestAnswers() {
-        KeptAnswers kept = KeptAnswers.of(10);
+        ResponseCache kept = ResponseCache.of(10);
         CustomerId large = CustomerId.of("large");
         CustomerId small = CustomerId.of("small");
         assertEquals(List.of(), kept.add(small, 1, 2));
