--- a/daemon/src/main/java/org/marjoramswitch/daemon/exchange/CallDecoder.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/exchange/CallDecoder.java
@@ -6,30 +6,30 @@
 import org.marjoramswitch.kernel.model.CustomerId;
 import org.marjoramswitch.kernel.model.PromptPart;
 
-/** Reads what a caller says of its request in headers of the platform's own, and writes the ones for the target. */
+/** Decodes the platform's request headers and creates the headers for the target. */
 public interface CallDecoder {
-    /** @param headers with names in lower case */
+    /** @param headers keyed by lower-case name */
     CallMetadata read(Map<String, String> headers);
 
     /**
-     * The headers that go on with the call.
+     * Returns the headers to forward to the target.
      *
-     * @param headers the caller's, without those of its connection
-     * @param customer null on a route that needs no key
+     * @param headers the caller's headers without hop-by-hop headers
+     * @param customer null on a route that needs no API key
      */
     Map<String, String> forTarget(Map<String, String> headers, @Nullable CustomerId customer);
 
-    /** The value of Retry-After. */
+    /** Formats the value of the Retry-After header. */
     String retryAfter(long retryAfterMs);
 
     /**
-     * What a caller says of its request.
+     * Properties of a request that the caller declares in headers.
      *
-     * @param requestId names the request in logs and at the target, empty where the caller gave none
-     * @param timeoutMs how long the caller will wait, 0 where it does not say
+     * @param requestId identifies the request in logs and at the target; empty if not given
+     * @param timeoutMs how long the caller waits for the response; 0 if not given
      * @param prompt the prompt's parts in order
-     * @param maxOutputTokens the most that the answer may have, 0 where it is not said
-     * @param expectedOutputTokens the caller's guess, 0 where there is none
+     * @param maxOutputTokens limit of the response's tokens; 0 if not given
+     * @param expectedOutputTokens the caller's estimate; 0 if not given
      */
     record CallMetadata(
             String requestId,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/exchange/RequestSubmitter.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/exchange/RequestSubmitter.java
@@ -2,14 +2,14 @@
 
 import org.marjoramswitch.kernel.model.RequestSpec;
 
-/** Where the callers' side hands over a request that was read whole. */
+/** Accepts completely received requests for scheduling. */
 public interface RequestSubmitter {
-    /** A request id that this incarnation has not used yet. */
+    /** Returns a request id that is unique within this incarnation of the instance. */
     long nextRequestId();
 
-    /** Queues the request; the listener gets its answer or failure. Never blocks. */
+    /** Queues the request; the listener receives its response or failure. Never blocks. */
     void submit(RequestSpec request, TargetCall call, ResponseListener listener);
 
-    /** The caller of a request has gone; its listener still gets an end. */
+    /** Reports that the caller of a request has disconnected; the request's listener still receives an end. */
     void callerGone(long requestId);
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/exchange/ResponseListener.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/exchange/ResponseListener.java
@@ -4,11 +4,12 @@
 import org.marjoramswitch.kernel.error.Failure;
 
 /**
- * Takes a request's answer on its way to the caller. Called in order by one thread at a time: head, any number of
- * bytes, then exactly one of complete and failure; a failure may come first. Never blocks.
+ * Receives a request's response on its way to the caller. Called by one thread at a time in this order: head, any
+ * number of byte chunks, then exactly one of complete and failure. A failure may come first. Implementations must not
+ * block.
  */
 public interface ResponseListener {
-    /** The request is sent to a target now, for the first time or again; comes before any head. */
+    /** The request is being sent to a target, for the first time or as a retry. Precedes any head. */
     default void onSent() {}
 
     void onHead(int status, Map<String, String> headers);
@@ -17,6 +18,6 @@
 
     void onComplete();
 
-    /** After a head this must reach the caller as a broken or marked answer, never as a complete one. */
+    /** After a head the caller must see a broken connection or an error marker, never a complete response. */
     void onFailure(Failure failure);
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/exchange/TargetCall.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/exchange/TargetCall.java
@@ -7,16 +7,16 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * The HTTP request to be sent to whichever target is granted.
+ * HTTP request to be sent to the target that is granted.
  *
- * @param path with the query string
- * @param headers only those that go on to the target
- * @param streaming whether the caller asked for server-sent events
- * @param deadlineNs of {@link System#nanoTime}, after which the caller waits no longer; 0 where it did not say
- * @param silenceMs how long a target may be silent, 0 for the pool's usual time
- * @param fetchFrom the target whose kept prompt parts are to be fetched first, null where there is none
+ * @param path includes the query string
+ * @param headers only the headers that are forwarded to the target
+ * @param streaming whether the caller requested server-sent events
+ * @param deadlineNs {@link System#nanoTime} at which the caller's timeout expires; 0 if there is none
+ * @param silenceMs maximum time without progress of the target; 0 for the pool's default
+ * @param fetchFrom the target whose cached prompt parts are fetched before prefill; null if there is none
  */
-@SuppressWarnings("ArrayRecordComponent") // calls are never compared, and the body is not copied on its way
+@SuppressWarnings("ArrayRecordComponent") // calls are never compared, and the body is never copied
 public record TargetCall(
         TargetKind kind,
         String method,
@@ -34,12 +34,12 @@
         return new TargetCall(kind, method, path, headers, body, streaming, 0, 0, null);
     }
 
-    /** The same call, bounded in time. */
+    /** Returns a copy of this call with a deadline and a maximum time without progress of the target. */
     public TargetCall withTimeouts(long callDeadlineNs, long targetSilenceMs) {
         return new TargetCall(kind, method, path, headers, body, streaming, callDeadlineNs, targetSilenceMs, fetchFrom);
     }
 
-    /** The same call with one header more, or with another value of it. */
+    /** Returns a copy of this call with the header added or replaced. */
     public TargetCall withHeader(String name, String value) {
         Map<String, String> changed = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
         changed.putAll(headers);
@@ -47,17 +47,17 @@
         return new TargetCall(kind, method, path, changed, body, streaming, deadlineNs, silenceMs, fetchFrom);
     }
 
-    /** The same call, for a target that fetches what another one keeps of its prompt. */
+    /** Returns a copy of this call for a target that fetches cached prompt parts from {@code source}. */
     public TargetCall fetchingFrom(@Nullable TargetSettings source) {
         return new TargetCall(kind, method, path, headers, body, streaming, deadlineNs, silenceMs, source);
     }
 
-    /** Whether the caller's time is over. */
+    /** Whether the caller's timeout has expired. */
     public boolean isExpired(long nowNs) {
         return deadlineNs != 0 && nowNs - deadlineNs >= 0;
     }
 
-    /** What is left of the caller's time, at least 1 ms; 0 where it did not say. */
+    /** Time until the caller's timeout expires, at least 1 ms; 0 if the caller gave none. */
     public long remainingMs(long nowNs) {
         return deadlineNs == 0 ? 0 : Math.max(1, (deadlineNs - nowNs) / NS_PER_MS);
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/exchange/TargetClient.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/exchange/TargetClient.java
@@ -8,34 +8,34 @@
 
 /** Sends calls to targets. */
 public interface TargetClient {
-    /** Starts one attempt; never blocks and never retries by itself. */
+    /** Starts one attempt. Never blocks and never retries. */
     Attempt start(TargetSettings target, PoolSettings pool, TargetCall call, AttemptListener listener);
 
-    /** One running attempt. */
+    /** A running attempt. */
     interface Attempt {
-        /** Cuts the attempt; its listener still gets an end, with outcome CANCELLED where nothing else came first. */
+        /** Aborts the attempt. Its listener still receives an end, CANCELLED unless another outcome came first. */
         void cancel();
     }
 
-    /** Follows one attempt; called in order by one thread at a time, ended by exactly one {@code onEnd}. */
+    /** Receives the events of one attempt in order, on one thread at a time; exactly one {@code onEnd} comes last. */
     interface AttemptListener {
         void onHead(int status, Map<String, String> headers);
 
-        /** The target says this of itself beside its answer, whatever becomes of the answer. */
+        /** The target reported its own status with the response; independent of the response's outcome. */
         default void onNotice(TargetStatusNotice notice) {}
 
         void onBytes(byte[] bytes);
 
-        /** All whole events so far have gone to the listener; the last of them has this id, empty where it has none. */
+        /** All complete events so far were passed on. The last one has this id, empty if it has none. */
         default void onPosition(String lastEventId) {}
 
-        /** The answer holds {@code outputTokens} so far. */
+        /** The response holds {@code outputTokens} tokens so far. */
         void onProgress(long outputTokens);
 
         /**
-         * The attempt is over. Whether an answer has begun is judged by the first {@code onBytes}: before it the
-         * outcomes are the ones named BEFORE_ANSWER. Where nothing was sent, or the target said that it did not start
-         * the request, the outcome is REFUSED.
+         * The attempt has ended. A response counts as started from the first {@code onBytes}; before that the outcomes
+         * named BEFORE_ANSWER apply. The outcome is REFUSED if nothing was sent or if the target reported that it did
+         * not start the request.
          */
         void onEnd(TargetOutcome outcome, Usage usage);
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/exchange/TargetStatusNotice.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/exchange/TargetStatusNotice.java
@@ -1,10 +1,10 @@
 package org.marjoramswitch.daemon.exchange;
 
 /**
- * What a target says of itself beside an answer.
+ * Status that a target reports about itself in a response.
  *
- * @param leaving whether it leaves and wants no new request
- * @param backoffMs how long it wants nothing from this instance; 0 where it does not say
+ * @param leaving whether the target is draining and accepts no new requests
+ * @param backoffMs how long this instance must not send requests to the target; 0 if not given
  */
 public record TargetStatusNotice(boolean leaving, long backoffMs) {
     public static final TargetStatusNotice NONE = new TargetStatusNotice(false, 0);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/exchange/package-info.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/exchange/package-info.java
@@ -1,4 +1,4 @@
-/** Where a caller's request, the decisions and a target's answer meet: the interfaces between the duties. */
+/** Interfaces between the caller-facing server, the decision loop and the target clients. */
 @NullMarked
 package org.marjoramswitch.daemon.exchange;
 
