--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/FailureStatusTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/FailureStatusTest.java
@@ -10,18 +10,18 @@
 import org.marjoramswitch.kernel.error.Failure;
 
 class FailureStatusTest {
-    /** A caller that is told 503 or 429 sends its request again; one that may have run must not be told so. */
+    /** A caller retries after 503 or 429, so a request that may have run must not end with these statuses. */
     @ParameterizedTest
     @EnumSource(ErrorType.class)
-    void whatMayHaveRunIsNeverPromisedNotToHave(ErrorType type) {
+    void failureOfRequestThatMayHaveRunIsNot503Or429(ErrorType type) {
         int status = FailureStatus.of(Failure.unknown(type, "")).type().httpStatus();
         assertTrue(status != 503 && status != 429, type + " " + status);
     }
 
     @Test
-    void whatDidNotRunIsSaidSo() {
-        Failure told = FailureStatus.of(Failure.notRun(ErrorType.TARGET_REFUSED, 0, "t1"));
-        assertEquals(503, told.type().httpStatus());
-        assertTrue(told.retryAfterMs() > 0);
+    void failureOfRequestThatDidNotRunIs503WithRetryAfter() {
+        Failure mapped = FailureStatus.of(Failure.notRun(ErrorType.TARGET_REFUSED, 0, "t1"));
+        assertEquals(503, mapped.type().httpStatus());
+        assertTrue(mapped.retryAfterMs() > 0);
     }
 }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/FakePeers.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/FakePeers.java
@@ -7,7 +7,7 @@
 import org.marjoramswitch.daemon.settings.HostPort;
 import org.marjoramswitch.kernel.model.InstanceId;
 
-/** Links between the instances of one test; messages to an unknown or silenced instance are lost. */
+/** Peer links between the instances of one test. Messages to an unknown or disconnected instance are lost. */
 final class FakePeers {
     private final Map<InstanceId, Peer> peers = new ConcurrentHashMap<>();
 
@@ -17,7 +17,7 @@
         peers.put(instance, new Peer(incarnation, keys, address));
     }
 
-    void silence(InstanceId instance) {
+    void disconnect(InstanceId instance) {
         peers.remove(instance);
     }
 
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/FakeRequestSubmitter.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/FakeRequestSubmitter.java
@@ -7,33 +7,33 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import org.marjoramswitch.daemon.exchange.ResponseListener;
 import org.marjoramswitch.daemon.exchange.RequestSubmitter;
+import org.marjoramswitch.daemon.exchange.ResponseListener;
 import org.marjoramswitch.daemon.exchange.TargetCall;
 import org.marjoramswitch.kernel.error.ErrorType;
 import org.marjoramswitch.kernel.error.Failure;
 import org.marjoramswitch.kernel.model.RequestSpec;
 
-/** Hands what was submitted to the test, which plays the targets. */
+/** Passes submitted requests to the test, which acts as their targets. */
 final class FakeRequestSubmitter implements RequestSubmitter {
     private final AtomicLong lastRequestId = new AtomicLong();
     private final BlockingQueue<Submitted> submitted = new LinkedBlockingQueue<>();
     private final Map<Long, ResponseListener> listeners = new ConcurrentHashMap<>();
-    final Set<Long> gone = ConcurrentHashMap.newKeySet();
+    final Set<Long> callersGone = ConcurrentHashMap.newKeySet();
 
-    record Submitted(RequestSpec spec, TargetCall call, ResponseListener answer) {
+    record Submitted(RequestSpec spec, TargetCall call, ResponseListener response) {
         void head(int status, String contentType) {
-            answer.onHead(status, Map.of("Content-Type", contentType, "Connection", "close"));
+            response.onHead(status, Map.of("Content-Type", contentType, "Connection", "close"));
         }
 
         void bytes(String text) {
-            answer.onBytes(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
+            response.onBytes(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
         }
 
-        void whole(int status, String contentType, String text) {
+        void respond(int status, String contentType, String text) {
             head(status, contentType);
             bytes(text);
-            answer.onComplete();
+            response.onComplete();
         }
     }
 
@@ -50,7 +50,7 @@
 
     @Override
     public void callerGone(long requestId) {
-        gone.add(requestId);
+        callersGone.add(requestId);
         listeners.get(requestId).onFailure(Failure.unknown(ErrorType.CALLER_GONE, ""));
     }
 
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/Fixture.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/Fixture.java
@@ -28,7 +28,7 @@
 import org.marjoramswitch.kernel.settings.FleetSettings;
 import org.marjoramswitch.kernel.settings.PoolSettings;
 
-/** A caller server on a free port with a fake gate, two customers, a model and a plain service. */
+/** Caller server on a free port with a fake request submitter, two customers, a model and a plain service. */
 final class Fixture implements AutoCloseable {
     static final String KEY_ONE = "key-one";
     static final String KEY_TWO = "key-two";
@@ -40,7 +40,7 @@
     static final long INCARNATION = 7;
     private static final int SOCKET_TIMEOUT_MS = 10_000;
 
-    final FakeRequestSubmitter gate = new FakeRequestSubmitter();
+    final FakeRequestSubmitter submitter = new FakeRequestSubmitter();
     final MetricRegistry metrics = new MetricRegistry();
     final HttpClient client = HttpClient.newHttpClient();
     volatile FleetSettings settings = settings();
@@ -56,7 +56,7 @@
         server = CallerServer.start(
                 HostPort.of("127.0.0.1", 0),
                 options,
-                gate,
+                submitter,
                 keys,
                 claims,
                 addresses,
@@ -76,7 +76,7 @@
         return new Fixture(instance, options, peers, claims);
     }
 
-    /** A key of this instance with a suffix. */
+    /** Returns a request key whose home is this instance. */
     String key(String suffix) {
         return keys.prefix(keys.self(), INCARNATION) + suffix;
     }
@@ -91,7 +91,7 @@
                 Map.of());
     }
 
-    /** Three eligible instances. */
+    /** Four eligible instances. */
     private static final class Addresses implements InstanceDirectory {
         private volatile FakePeers peers = new FakePeers();
 
@@ -126,7 +126,7 @@
                 .build();
     }
 
-    /** A connection under the test's own control. */
+    /** Opens a raw connection that the test reads and writes. */
     Socket connect() throws IOException {
         HostPort address = server.boundAddress();
         Socket socket = new Socket(address.host(), address.port());
@@ -148,7 +148,7 @@
         socket.getOutputStream().flush();
     }
 
-    /** Reads until the text has come; fails at the end of input. */
+    /** Reads until the text has arrived; fails at the end of input. */
     static String readUntil(Socket socket, String text) throws IOException {
         InputStream in = socket.getInputStream();
         ByteArrayOutputStream read = new ByteArrayOutputStream();
@@ -177,7 +177,7 @@
         long deadlineNs = System.nanoTime() + SOCKET_TIMEOUT_MS * 1_000_000L;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadlineNs) {
-                throw new AssertionError("the condition did not come true");
+                throw new AssertionError("the condition was not met in time");
             }
             Thread.sleep(2);
         }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/ForwardServerTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/ForwardServerTest.java
@@ -33,7 +33,7 @@
 import org.xnio.XnioWorker;
 
 class ForwardServerTest {
-    private static final int MOST_CONNECTIONS = 8;
+    private static final int MAX_CONNECTIONS = 8;
     private static final int READ_TIMEOUT_MS = 5_000;
     private static final String REQUEST = "GET /any/ HTTP/1.1\r\nHost: h.example\r\n\r\n";
 
@@ -51,7 +51,7 @@
                 new ForwardServer.Parts(
                         HostPort.of("127.0.0.1", port),
                         Map.of(),
-                        CallerOptions.builder().maxConnections(MOST_CONNECTIONS).build(),
+                        CallerOptions.builder().maxConnections(MAX_CONNECTIONS).build(),
                         new PlainDecoder(),
                         new FakeRequestSubmitter(),
                         () -> RoutedSettings.NONE,
@@ -72,31 +72,31 @@
     }
 
     /**
-     * Every caller of a flood is answered. Each opens a connection, has its answer and keeps the connection for later;
-     * with all connections that an instance takes held idle like this, the next callers would wait unread until they give
-     * up. From half of the connections on, an answer closes its connection.
+     * Many callers each open a connection and keep it open after the response. If idle connections could fill the
+     * instance's limit, further callers would not be accepted and would time out. Above half of the limit a response
+     * therefore closes its connection.
      */
     @Test
-    void idleConnectionsDoNotKeepNewCallersOut() throws IOException {
-        for (int i = 0; i < 2 * MOST_CONNECTIONS; i++) {
+    void idleConnectionsDoNotBlockNewCallers() throws IOException {
+        for (int i = 0; i < 2 * MAX_CONNECTIONS; i++) {
             assertEquals("HTTP/1.1 503 Service Unavailable", call().status());
         }
     }
 
     @Test
-    void fewConnectionsAreKept() throws IOException {
+    void connectionsBelowTheLimitAreKept() throws IOException {
         Caller first = call();
         assertTrue(first.kept());
-        assertEquals("HTTP/1.1 503 Service Unavailable", first.again().status());
+        assertEquals("HTTP/1.1 503 Service Unavailable", first.sendAgain().status());
     }
 
     /**
-     * The caller hears at once that another instance can take its request, and its connection is closed so that it chooses
-     * one. The instance is flooded and behind; what it takes now it would send on when the caller has left.
+     * An overloaded instance would forward a request only after its caller has disconnected. The caller is therefore
+     * rejected immediately with a short retry delay, and its connection is closed so that it chooses another instance.
      */
     @Test
     @Timeout(20)
-    void anInstanceThatIsBehindSendsCallersElsewhere() throws IOException {
+    void overloadedInstanceRejectsCallersAndClosesTheirConnections() throws IOException {
         decisionsLagMs.set(500);
         Caller refused = call();
         while (!refused.head().contains("retry-after: 100\n")) {
@@ -116,7 +116,7 @@
         socket.setSoTimeout(READ_TIMEOUT_MS);
         BufferedReader in =
                 new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
-        Caller caller = new Caller(socket, in, "", "").again();
+        Caller caller = new Caller(socket, in, "", "").sendAgain();
         callers.add(caller);
         if (!caller.kept()) {
             socket.close();
@@ -130,9 +130,9 @@
         }
     }
 
-    /** One connection and the head of its newest answer. */
+    /** A connection and the head of its latest response. */
     private record Caller(Socket socket, BufferedReader in, String status, String head) {
-        Caller again() throws IOException {
+        Caller sendAgain() throws IOException {
             socket.getOutputStream().write(REQUEST.getBytes(StandardCharsets.ISO_8859_1));
             String first = in.readLine();
             StringBuilder rest = new StringBuilder();
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/PersistentLagDetectorTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/PersistentLagDetectorTest.java
@@ -9,35 +9,35 @@
     private final PersistentLagDetector lag = new PersistentLagDetector();
 
     @Test
-    void anInstanceThatIsLateAllTheTimeIsBehind() {
+    void instanceThatIsAlwaysLateIsBehind() {
         late(400, 900, 70);
-        assertTrue(lag.isStanding());
+        assertTrue(lag.isPersistent());
     }
 
-    /** A collection of a tenth of a second, with what came meanwhile worked off after it. */
+    /** A garbage collection of 100 ms, after which the delayed work is processed. */
     @Test
-    void aPauseIsNoLag() {
+    void singlePauseIsNotPersistentLag() {
         late(0, 110, 70, 10, 0);
-        assertFalse(lag.isStanding());
+        assertFalse(lag.isPersistent());
     }
 
-    /** A processor whose share is used up for the rest of each tenth of a second: late by up to 64 ms, then on time. */
+    /** A processor quota that is exhausted in each period of 100 ms: late by up to 64 ms, then on time. */
     @Test
-    void aSharedProcessorIsNoLag() {
+    void exhaustedProcessorQuotaIsNotPersistentLag() {
         for (int i = 0; i < 10; i++) {
             late(64, 0);
-            assertFalse(lag.isStanding());
+            assertFalse(lag.isPersistent());
         }
     }
 
-    /** Refusals take the load away; the instance takes requests again as soon as it is on time. */
+    /** Rejections reduce the load; the instance accepts requests again as soon as it is on time. */
     @Test
-    void theFirstSampleOnTimeEndsIt() {
+    void firstSampleOnTimeEndsPersistentLag() {
         late(400, 400, 400);
         late(5);
-        assertFalse(lag.isStanding());
+        assertFalse(lag.isPersistent());
         late(400, 400);
-        assertFalse(lag.isStanding());
+        assertFalse(lag.isPersistent());
     }
 
     private void late(long... samplesMs) {
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/RawInputTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/RawInputTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Input that no well-behaved client sends, byte by byte. */
+/** Raw input that no well-behaved client sends. */
 class RawInputTest {
     private static final String CHAT_PATH = "/v1/chat/completions";
     private static final int HEAD_TIMEOUT_MS = 200;
@@ -31,7 +31,7 @@
         fixture.close();
     }
 
-    private String answerTo(String input) throws IOException {
+    private String responseTo(String input) throws IOException {
         try (Socket socket = fixture.connect()) {
             Fixture.send(socket, input);
             return Fixture.readAll(socket);
@@ -50,80 +50,80 @@
 
     @ParameterizedTest
     @MethodSource("notHttp")
-    void whatIsNotHttpIsRefusedAndTheConnectionClosed(String input) throws Exception {
-        String answer = answerTo(input);
-        assertTrue(answer.startsWith("HTTP/1.1 400 "), answer);
-        assertTrue(fixture.gate.nothingSubmitted());
+    void invalidHttpIsRejectedAndTheConnectionClosed(String input) throws Exception {
+        String response = responseTo(input);
+        assertTrue(response.startsWith("HTTP/1.1 400 "), response);
+        assertTrue(fixture.submitter.nothingSubmitted());
     }
 
     @Test
-    void aChunkThatIsNoneEndsInTheBodysTimeout() throws Exception {
-        String answer = answerTo(Fixture.rawHead("POST", CHAT_PATH, "Transfer-Encoding: chunked") + "zz\r\nabc");
-        assertTrue(answer.startsWith("HTTP/1.1 408 "), answer);
+    void invalidChunkEndsInTheBodyTimeout() throws Exception {
+        String response = responseTo(Fixture.rawHead("POST", CHAT_PATH, "Transfer-Encoding: chunked") + "zz\r\nabc");
+        assertTrue(response.startsWith("HTTP/1.1 408 "), response);
     }
 
-    // The caller sends a part of a head and no more; another one connects and says nothing. Both are closed.
+    // One caller sends only a part of a head, another one sends nothing. Both connections are closed.
     @Test
-    void aHeadThatDoesNotComeClosesTheConnection() throws Exception {
-        assertEquals("", answerTo("GET /v1/address"));
-        assertEquals("", answerTo(""));
+    void missingHeadClosesTheConnection() throws Exception {
+        assertEquals("", responseTo("GET /v1/address"));
+        assertEquals("", responseTo(""));
     }
 
     @Test
-    void anAnswerThatCouldNotBeSeenToBreakIsRefused() throws Exception {
+    void http10RequestIsRejectedBecauseInterruptionsWouldBeUndetectable() throws Exception {
         String head = Fixture.rawHead("GET", "/services/cell-gateway/x").replace("HTTP/1.1", "HTTP/1.0");
-        String answer = answerTo(head);
-        assertTrue(answer.startsWith("HTTP/1.0 400 ") && answer.contains("HTTP/1.1 is needed"), answer);
+        String response = responseTo(head);
+        assertTrue(response.startsWith("HTTP/1.0 400 ") && response.contains("HTTP/1.1 is required"), response);
     }
 
-    // The caller sends far more than the limit and reads only when it has sent it: the rest is read and thrown away, so
-    // that the refusal is not lost in a reset.
+    // The caller sends far more than the limit and reads only afterwards. The remainder is read and discarded, because
+    // closing a socket with unread input sends a reset that discards the rejection.
     @Test
-    void aRefusalReachesACallerThatIsStillSending() throws Exception {
+    void rejectionReachesACallerThatIsStillSending() throws Exception {
         try (Socket socket = fixture.connect()) {
             Fixture.send(socket, Fixture.rawHead("POST", CHAT_PATH, "Transfer-Encoding: chunked"));
             String chunk = "1000\r\n" + "x".repeat(0x1000) + "\r\n";
             for (int sentBytes = 0; sentBytes < (10 << 20); sentBytes += 0x1000) {
                 Fixture.send(socket, chunk);
             }
-            String answer = Fixture.readUntil(socket, "}");
-            assertTrue(answer.startsWith("HTTP/1.1 413 "), answer);
+            String response = Fixture.readUntil(socket, "}");
+            assertTrue(response.startsWith("HTTP/1.1 413 "), response);
         }
     }
 
     @Test
-    void aBodyThatTheCallerAsksLeaveForIsReadAndOneOfNobodyIsNot() throws Exception {
-        String known = answerTo(
+    void expectedBodyIsReadOnlyForAKnownCustomer() throws Exception {
+        String known = responseTo(
                 Fixture.rawHead("POST", CHAT_PATH, "Expect: 100-continue", "Connection: close", "Content-Length: 3")
                         + "abc");
         assertTrue(known.contains("body is not JSON"), known);
-        String unknown = answerTo(Fixture.rawHead("POST", CHAT_PATH, "Expect: 100-continue", "Content-Length: 3")
+        String unknown = responseTo(Fixture.rawHead("POST", CHAT_PATH, "Expect: 100-continue", "Content-Length: 3")
                 .replace(Fixture.KEY_ONE, "wrong"));
         assertTrue(unknown.startsWith("HTTP/1.1 401 "), unknown);
     }
 
     @Test
-    void requestsSentAheadAreAnsweredInOrder() throws Exception {
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         try (Socket socket = fixture.connect()) {
             String first = Fixture.rawHead("GET", "/services/cell-gateway/1");
             Fixture.send(socket, first + first.replace("/1 ", "/2 "));
-            fixture.gate.next().whole(200, "text/plain", "one");
-            FakeRequestSubmitter.Submitted second = fixture.gate.next();
+            fixture.submitter.next().respond(200, "text/plain", "one");
+            FakeRequestSubmitter.Submitted second = fixture.submitter.next();
             Fixture.send(socket, first.replace("/1 ", "/3 "));
-            second.whole(200, "text/plain", "two");
-            fixture.gate.next().whole(200, "text/plain", "three");
+            second.respond(200, "text/plain", "two");
+            fixture.submitter.next().respond(200, "text/plain", "three");
             String all = Fixture.readUntil(socket, "three");
             assertTrue(all.indexOf("one") < all.indexOf("two"), all);
-            String tail = Fixture.readAll(socket); // ends, since an idle connection is closed
+            String tail = Fixture.readAll(socket); // ends because an idle connection is closed
             assertFalse(tail.contains("HTTP/1.1"), tail);
         }
-        assertTrue(fixture.gate.gone.isEmpty());
+        assertTrue(fixture.submitter.callersGone.isEmpty());
     }
 
-    // Two silent connections take all places. A third caller waits to be accepted, and is answered once the silent ones
-    // have been closed for saying nothing.
+    // Two idle connections reach the limit. A third caller waits to be accepted, and receives its response once an idle
+    // connection has been closed by its timeout.
     @Test
-    void moreConnectionsThanTheLimitWait() throws Exception {
+    void connectionsAboveTheLimitWait() throws Exception {
         CallerOptions options = CallerOptions.builder()
                 .maxConnections(2)
                 .times(new CallerOptions.Times(HEAD_TIMEOUT_MS, 500, 1_000, 50, 30_000, 10_000, 1_000))
@@ -139,7 +139,7 @@
                     Socket third = small.connect()) {
                 Fixture.send(third, request);
                 assertTrue(Fixture.readUntil(third, "}").startsWith("HTTP/1.1 200 "));
-                assertTrue(isClosed(first) || isClosed(second), "the third was accepted beside the others");
+                assertTrue(isClosed(first) || isClosed(second), "the third connection was accepted above the limit");
             }
         }
     }
@@ -154,49 +154,51 @@
     }
 
     @Test
-    void moreRequestsThanTheLimitAreRefused() throws Exception {
+    void requestsAboveTheLimitAreRejected() throws Exception {
         try (Socket socket = fixture.connect()) {
             Fixture.send(socket, Fixture.rawHead("GET", "/services/cell-gateway/1"));
-            FakeRequestSubmitter.Submitted call = fixture.gate.next();
-            String refused = answerTo(Fixture.rawHead("GET", "/services/cell-gateway/2"));
+            FakeRequestSubmitter.Submitted call = fixture.submitter.next();
+            String refused = responseTo(Fixture.rawHead("GET", "/services/cell-gateway/2"));
             assertTrue(refused.startsWith("HTTP/1.1 503 ") && refused.contains("entry-queue-full"), refused);
-            call.whole(200, "text/plain", "one");
+            call.respond(200, "text/plain", "one");
             Fixture.readUntil(socket, "one");
         }
-        assertTrue(answerTo(Fixture.rawHead("GET", "/v1/nothing")).startsWith("HTTP/1.1 404 "));
+        assertTrue(responseTo(Fixture.rawHead("GET", "/v1/nothing")).startsWith("HTTP/1.1 404 "));
     }
 
-    // The caller takes the beginning of its answer and then nothing: what it leaves unread is within the limit, so only
-    // the time it has taken no byte for can tell. Its connection is cut and the gate hears of it.
+    // The caller reads the start of its response and then stops. Its unread bytes are within the limit, so only the
+    // stall
+    // timeout detects it. Its connection is closed and the request is reported as abandoned.
     @Test
-    void aCallerThatStopsReadingIsCutAfterATime() throws Exception {
+    void callerThatStopsReadingIsDisconnectedAfterTheStallTimeout() throws Exception {
         try (Socket socket = fixture.connect()) {
             socket.setReceiveBufferSize(4 << 10);
             Fixture.send(socket, Fixture.rawHead("GET", "/services/cell-gateway/1"));
-            FakeRequestSubmitter.Submitted call = fixture.gate.next();
+            FakeRequestSubmitter.Submitted call = fixture.submitter.next();
             call.head(200, "application/octet-stream");
             for (int i = 0; i < 4_000_000 / 1_000; i++) {
-                call.answer().onBytes(new byte[1_000]);
+                call.response().onBytes(new byte[1_000]);
             }
-            Fixture.await(() -> fixture.gate.gone.contains(call.spec().requestId()));
-            // The gate hears of it before it is counted.
+            Fixture.await(
+                    () -> fixture.submitter.callersGone.contains(call.spec().requestId()));
+            // The submitter is notified before the metric is updated.
             Fixture.await(() -> fixture.metrics.meter("caller.slow_caller").getCount() > 0);
             assertEquals(1, fixture.metrics.meter("caller.slow_caller").getCount());
         }
     }
 
     @Test
-    void answersWithoutABodyHaveNone() throws Exception {
+    void responsesWithoutABodyHaveNoContentLength() throws Exception {
         for (String method : new String[] {"GET", "HEAD"}) {
             var response = fixture.client.sendAsync(
                     fixture.request("/services/cell-gateway")
                             .method(method, HttpRequest.BodyPublishers.noBody())
                             .build(),
                     BodyHandlers.ofString());
-            FakeRequestSubmitter.Submitted call = fixture.gate.next();
+            FakeRequestSubmitter.Submitted call = fixture.submitter.next();
             assertEquals(method + " /", call.call().method() + ' ' + call.call().path());
             call.head(304, "text/plain");
-            call.answer().onComplete();
+            call.response().onComplete();
             assertEquals(304, response.get().statusCode());
             assertFalse(response.get().headers().firstValue("Content-Length").isPresent());
         }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/RequestDigestTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/RequestDigestTest.java
@@ -9,19 +9,19 @@
 import org.marjoramswitch.kernel.model.CustomerId;
 
 class RequestDigestTest {
-    private static final long USUAL = digest("a", "/x/1", "q=1", "body");
+    private static final long DIGEST = digest("a", "/x/1", "q=1", "body");
 
     @Test
-    void requestsAlikeHaveTheSameDigest() {
-        assertEquals(USUAL, digest("a", "/x/1", "q=1", "body"));
+    void equalRequestsHaveTheSameDigest() {
+        assertEquals(DIGEST, digest("a", "/x/1", "q=1", "body"));
     }
 
     @Test
-    void anotherCustomerPathQueryOrBodyMakesAnother() {
-        assertNotEquals(USUAL, digest("b", "/x/1", "q=1", "body"));
-        assertNotEquals(USUAL, digest("a", "/x/2", "q=1", "body"));
-        assertNotEquals(USUAL, digest("a", "/x/1", "q=2", "body"));
-        assertNotEquals(USUAL, digest("a", "/x/1", "q=1", "other"));
+    void digestDependsOnCustomerPathQueryAndBody() {
+        assertNotEquals(DIGEST, digest("b", "/x/1", "q=1", "body"));
+        assertNotEquals(DIGEST, digest("a", "/x/2", "q=1", "body"));
+        assertNotEquals(DIGEST, digest("a", "/x/1", "q=2", "body"));
+        assertNotEquals(DIGEST, digest("a", "/x/1", "q=1", "other"));
     }
 
     private static long digest(String customer, String path, String query, String body) {
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/RequestKeysTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/RequestKeysTest.java
@@ -20,10 +20,10 @@
 import org.marjoramswitch.kernel.error.Failure;
 import org.marjoramswitch.kernel.model.InstanceId;
 
-/** Two instances, a and b; calls are stop acknowledgements, which must not run twice. */
+/** Two instances, a and b. The calls are stop acknowledgements, which must not run twice. */
 class RequestKeysTest {
     private static final CallerOptions OPTIONS = CallerOptions.builder()
-            .maxKept(1_000, 3_000)
+            .maxCached(1_000, 3_000)
             .times(new CallerOptions.Times(10_000, 10_000, 60_000, 5_000, 30_000, 50, 100))
             .build();
 
@@ -35,7 +35,7 @@
 
     private CompletableFuture<Claims.Result> claim(Object customer, String keyHash, String requestKey) {
         if (claimsDown) {
-            claimed.putIfAbsent(keyHash, requestKey); // took effect, but the answer is lost
+            claimed.putIfAbsent(keyHash, requestKey); // takes effect, but the response is lost
             return CompletableFuture.completedFuture(new Claims.Result.NotClaimed("down"));
         }
         String holder = claimed.putIfAbsent(keyHash, requestKey);
@@ -75,11 +75,11 @@
         return body;
     }
 
-    // The caller's connection breaks while its request runs. A second try with the key follows the same execution, and
-    // a
-    // third one after the end gets the answer again; the target saw one call.
+    // The caller's connection breaks while its request runs. A second attempt with the key reads the response of the
+    // same
+    // execution, and a third one after its end receives the cached response; the target receives one call.
     @Test
-    void aRetryFollowsTheRunningRequestAndAnEndedOneIsGivenAgain() throws Exception {
+    void retryAttachesToRunningRequestAndEndedResponseIsReplayed() throws Exception {
         String key = a.key("k1");
         FakeRequestSubmitter.Submitted call;
         try (Socket first = a.connect()) {
@@ -87,76 +87,77 @@
                     first,
                     Fixture.rawHead("POST", "/services/cell-gateway/stop", "Request-Key: " + key, "Content-Length: 6")
                             + "stop 7");
-            call = a.gate.next();
+            call = a.submitter.next();
         }
         call.head(200, "text/plain");
         call.bytes("stop");
         CompletableFuture<HttpResponse<String>> second = send(a, keyed(a, key));
         Fixture.await(() -> a.metrics.meter("caller.requests").getCount() == 2);
         call.bytes("ped");
-        call.answer().onComplete();
+        call.response().onComplete();
         assertEquals("stopped", second.get().body());
         assertEquals("stopped", send(a, keyed(a, key)).get().body());
-        assertTrue(a.gate.nothingSubmitted());
-        assertTrue(a.gate.gone.isEmpty());
+        assertTrue(a.submitter.nothingSubmitted());
+        assertTrue(a.submitter.callersGone.isEmpty());
     }
 
     @Test
-    void anotherBodyOrCustomerDoesNotGetTheAnswer() throws Exception {
+    void responseIsNotGivenForAnotherBodyOrCustomer() throws Exception {
         String key = a.key("k1");
         CompletableFuture<HttpResponse<String>> first = send(a, keyed(a, key));
-        a.gate.next().whole(200, "text/plain", "stopped");
+        a.submitter.next().respond(200, "text/plain", "stopped");
         first.get();
         refused(send(a, stop(a, Fixture.KEY_ONE, "Request-Key", key, "stop 8")), ErrorType.KEY_IN_USE, "not-run");
         CompletableFuture<HttpResponse<String>> other = send(a, stop(a, Fixture.KEY_TWO, "Request-Key", key, "stop 7"));
-        FakeRequestSubmitter.Submitted own = a.gate.next();
+        FakeRequestSubmitter.Submitted own = a.submitter.next();
         assertEquals("two", own.spec().customer().name());
-        own.whole(200, "text/plain", "own");
+        own.respond(200, "text/plain", "own");
         assertEquals("own", other.get().body());
     }
 
-    // The first try never reached its home a; the retry goes to b. b asks a and says "not run", and the first try,
-    // which
-    // comes to a after all, is refused and runs never.
+    // The first attempt has not reached its home a, and the retry goes to b. b queries a and responds "not run". The
+    // first
+    // attempt arrives at a later; it must be rejected and never run.
     @Test
-    void aKeyDeclaredNotRunElsewhereNeverRuns() throws Exception {
+    void keyReportedNotRunElsewhereNeverRuns() throws Exception {
         String key = a.key("k1");
         refused(send(b, keyed(b, key)), ErrorType.KEY_DEAD, "not-run");
         refused(send(a, keyed(a, key)), ErrorType.KEY_DEAD, "not-run");
-        assertTrue(a.gate.nothingSubmitted());
-        assertTrue(b.gate.nothingSubmitted());
+        assertTrue(a.submitter.nothingSubmitted());
+        assertTrue(b.submitter.nothingSubmitted());
     }
 
     @Test
-    void aRetryElsewhereIsSentToTheHome() throws Exception {
+    void retryAtAnotherInstanceIsRedirectedToTheHome() throws Exception {
         String key = a.key("k1");
         CompletableFuture<HttpResponse<String>> first = send(a, keyed(a, key));
-        FakeRequestSubmitter.Submitted call = a.gate.next();
+        FakeRequestSubmitter.Submitted call = a.submitter.next();
         HttpResponse<String> elsewhere = send(b, keyed(b, key)).get();
         assertEquals(307, elsewhere.statusCode());
         assertEquals(
                 "http://" + a.server.boundAddress() + "/services/cell-gateway/stop",
                 elsewhere.headers().firstValue("Location").orElseThrow());
         refused(CompletableFuture.completedFuture(elsewhere), ErrorType.KEY_AT_HOME, "unknown");
-        call.whole(200, "text/plain", "stopped");
+        call.respond(200, "text/plain", "stopped");
         assertEquals("stopped", first.get().body());
     }
 
-    // The home does not answer: it may have begun the request, so nothing but "unknown" is true, with a time to ask
-    // again.
+    // The home does not reply. It may have started the request, so the only correct outcome is "unknown", with a
+    // Retry-After.
     @Test
-    void aSilentHomeLeavesItUnknown() throws Exception {
+    void unreachableHomeMakesTheOutcomeUnknown() throws Exception {
         String key = a.key("k1");
-        peers.silence(InstanceId.of("a"));
+        peers.disconnect(InstanceId.of("a"));
         CompletableFuture<HttpResponse<String>> retry = send(b, keyed(b, key));
         refused(retry, ErrorType.KEY_OUTCOME_UNKNOWN, "unknown");
         assertEquals("2", retry.get().headers().firstValue("Retry-After").orElseThrow());
     }
 
-    // The home was restarted since it gave out the key. What its earlier incarnation did is known to nobody, now or
-    // later.
+    // The home was restarted after it issued the key. No instance knows what its earlier incarnation did, so the
+    // outcome
+    // stays unknown.
     @Test
-    void aRestartedHomeLeavesItUnknownForGood() throws Exception {
+    void restartedHomeMakesTheOutcomePermanentlyUnknown() throws Exception {
         String key = a.key("k1").replace(":7:", ":6:");
         for (Fixture at : List.of(a, b)) {
             CompletableFuture<HttpResponse<String>> retry = send(at, keyed(at, key));
@@ -165,41 +166,41 @@
         }
     }
 
-    // The first try is refused "not run" by a full queue; its caller may have acted on that, so the same key never
-    // runs.
+    // The first attempt is rejected as "not run" after its wait timeout. Its caller may have acted on that, so the same
+    // key must never run.
     @Test
-    void aRequestThatEndedNotRunIsNotBegunAgain() throws Exception {
+    void requestThatEndedNotRunIsNotStartedAgain() throws Exception {
         String key = a.key("k1");
         CompletableFuture<HttpResponse<String>> first = send(a, keyed(a, key));
-        a.gate.next().answer().onFailure(Failure.notRun(ErrorType.WAIT_TIMEOUT, 1_000, ""));
+        a.submitter.next().response().onFailure(Failure.notRun(ErrorType.WAIT_TIMEOUT, 1_000, ""));
         refused(first, ErrorType.WAIT_TIMEOUT, "not-run");
         refused(send(a, keyed(a, key)), ErrorType.KEY_DEAD, "not-run");
     }
 
-    // A retry is malformed while the first try runs: its refusal must not say "not run" of the request.
+    // A retry is malformed while the first attempt runs: its rejection must not claim that the request did not run.
     @Test
-    void aRefusedRetryOfARunningRequestSaysUnknown() throws Exception {
+    void rejectedRetryOfARunningRequestIsUnknown() throws Exception {
         String key = a.key("k1");
         CompletableFuture<HttpResponse<String>> first = send(a, keyed(a, key));
-        FakeRequestSubmitter.Submitted call = a.gate.next();
+        FakeRequestSubmitter.Submitted call = a.submitter.next();
         HttpRequest malformed = a.request("/services/cell-gateway/stop")
                 .header("Request-Key", key)
                 .header("Repeatable", "perhaps")
                 .build();
         refused(send(a, malformed), ErrorType.MALFORMED_REQUEST, "unknown");
-        call.whole(200, "text/plain", "stopped");
+        call.respond(200, "text/plain", "stopped");
         first.get();
     }
 
-    // The caller goes for good. A repeatable request is given up after the grace time; one that must not be repeated
-    // goes on, and its answer is there for whoever asks by the key.
+    // The caller disconnects and does not return. A repeatable request is cancelled after the grace period; one that is
+    // not repeatable continues, and its response stays available under its key.
     @Test
-    void onlyARepeatableRequestIsGivenUpAfterTheGrace() throws Exception {
-        long given = abandon("Repeatable: yes", "k1");
-        long kept = abandon("Repeatable: no", "k2");
-        Fixture.await(() -> a.gate.gone.contains(given));
+    void onlyARepeatableRequestIsCancelledAfterTheGracePeriod() throws Exception {
+        long cancelled = abandon("Repeatable: yes", "k1");
+        long running = abandon("Repeatable: no", "k2");
+        Fixture.await(() -> a.submitter.callersGone.contains(cancelled));
         abandonAgain();
-        assertFalse(a.gate.gone.contains(kept));
+        assertFalse(a.submitter.callersGone.contains(running));
     }
 
     private long abandon(String header, String suffix) throws IOException, InterruptedException {
@@ -211,46 +212,47 @@
                     header,
                     "Content-Length: 0");
             Fixture.send(socket, head);
-            return a.gate.next().spec().requestId();
+            return a.submitter.next().spec().requestId();
         }
     }
 
-    /** A second repeatable request that is given up: by then the first one's grace is over too. */
+    /** Waits until a later repeatable request is cancelled; the grace period of the earlier ones has then expired. */
     private void abandonAgain() throws IOException, InterruptedException {
         long again = abandon("Repeatable: yes", "k3");
-        Fixture.await(() -> a.gate.gone.contains(again));
+        Fixture.await(() -> a.submitter.callersGone.contains(again));
     }
 
     @Test
-    void anAnswerTooLargeToKeepIsNotGivenAgainInPart() throws Exception {
+    void responseTooLargeToCacheIsNotReplayedInPart() throws Exception {
         String key = a.key("k1");
         CompletableFuture<HttpResponse<String>> first = send(a, keyed(a, key));
-        a.gate.next().whole(200, "text/plain", "x".repeat(1_001));
+        a.submitter.next().respond(200, "text/plain", "x".repeat(1_001));
         assertEquals(1_001, first.get().body().length());
         refused(send(a, keyed(a, key)), ErrorType.ANSWER_NOT_KEPT, "unknown");
     }
 
-    // Two tries with the caller's own key at two instances: one runs, the other is sent to where it runs.
+    // Two attempts with the caller's idempotency key at two instances: one runs, the other is redirected to it.
     @Test
-    void anIdempotencyKeyRunsOnceInTheFleet() throws Exception {
+    void idempotencyKeyRunsOnceInTheFleet() throws Exception {
         HttpRequest atA = stop(a, Fixture.KEY_ONE, "Idempotency-Key", "mine", "stop 7");
         CompletableFuture<HttpResponse<String>> first = send(a, atA);
-        FakeRequestSubmitter.Submitted call = a.gate.next();
+        FakeRequestSubmitter.Submitted call = a.submitter.next();
         HttpResponse<String> second = send(b, stop(b, Fixture.KEY_ONE, "Idempotency-Key", "mine", "stop 7"))
                 .get();
         assertEquals(307, second.statusCode());
         CompletableFuture<HttpResponse<String>> third = send(a, atA);
-        call.whole(200, "text/plain", "stopped");
+        call.respond(200, "text/plain", "stopped");
         assertEquals("stopped", first.get().body());
         assertEquals("stopped", third.get().body());
-        assertTrue(a.gate.nothingSubmitted());
-        assertTrue(b.gate.nothingSubmitted());
+        assertTrue(a.submitter.nothingSubmitted());
+        assertTrue(b.submitter.nothingSubmitted());
     }
 
-    // The claim's answer is lost, so the refusal says "not run". The claim had taken effect: a retry finds the dead
-    // request behind it and is told to come again, until the claim is taken back.
+    // The response to the claim is lost, so the request is rejected as "not run" although the claim took effect. A
+    // retry
+    // finds the claiming request dead and is rejected until the claim is released.
     @Test
-    void aClaimWhoseAnswerWasLostNeverRuns() throws Exception {
+    void requestWhoseClaimResponseWasLostNeverRuns() throws Exception {
         claimsDown = true;
         HttpRequest request = stop(a, Fixture.KEY_ONE, "Idempotency-Key", "mine", "stop 7");
         refused(send(a, request), ErrorType.CLAIM_UNAVAILABLE, "not-run");
@@ -258,28 +260,29 @@
         refused(send(a, request), ErrorType.CLAIM_UNAVAILABLE, "not-run");
         HttpRequest atB = stop(b, Fixture.KEY_ONE, "Idempotency-Key", "mine", "stop 7");
         refused(send(b, atB), ErrorType.CLAIM_UNAVAILABLE, "not-run");
-        assertTrue(a.gate.nothingSubmitted());
+        assertTrue(a.submitter.nothingSubmitted());
         claimed.clear();
         CompletableFuture<HttpResponse<String>> later = send(a, request);
-        a.gate.next().whole(200, "text/plain", "stopped");
+        a.submitter.next().respond(200, "text/plain", "stopped");
         assertEquals("stopped", later.get().body());
     }
 
-    // A request with the caller's own key is refused by a full queue. The caller's next try is the same purpose with
-    // the same key, and must be able to run.
+    // A request with an idempotency key is rejected by a full queue. The caller's next attempt with the same key must
+    // be
+    // able to run.
     @Test
-    void anIdempotencyKeyOfARequestThatDidNotRunIsFreeAgain() throws Exception {
+    void idempotencyKeyIsReleasedIfTheRequestDidNotRun() throws Exception {
         HttpRequest request = stop(a, Fixture.KEY_ONE, "Idempotency-Key", "mine", "stop 7");
         CompletableFuture<HttpResponse<String>> first = send(a, request);
-        a.gate.next().answer().onFailure(Failure.notRun(ErrorType.CUSTOMER_QUEUE_FULL, 1_000, "9"));
+        a.submitter.next().response().onFailure(Failure.notRun(ErrorType.CUSTOMER_QUEUE_FULL, 1_000, "9"));
         refused(first, ErrorType.CUSTOMER_QUEUE_FULL, "not-run");
         CompletableFuture<HttpResponse<String>> second = send(a, request);
-        a.gate.next().whole(200, "text/plain", "stopped");
+        a.submitter.next().respond(200, "text/plain", "stopped");
         assertEquals("stopped", second.get().body());
     }
 
     @Test
-    void aKeyThatIsNoneIsRefused() throws Exception {
+    void invalidKeyIsRejected() throws Exception {
         refused(send(a, keyed(a, "no key")), ErrorType.MALFORMED_REQUEST, "not-run");
         refused(send(a, keyed(a, a.key("~~1"))), ErrorType.MALFORMED_REQUEST, "not-run");
     }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/ResponseBufferTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/ResponseBufferTest.java
@@ -15,16 +15,16 @@
     private final MemoryBudget budget = MemoryBudget.of(1_000_000);
     private int ends;
 
-    private ResponseBuffer buffer(int unreadBytes, int keptBytes, boolean kept) {
+    private ResponseBuffer buffer(int maxUnreadBytes, int maxRetainedBytes, boolean retained) {
         return ResponseBuffer.create(
-                new ResponseBuffer.Limits(unreadBytes, keptBytes), kept, budget, (end, bytes) -> ends++);
+                new ResponseBuffer.Limits(maxUnreadBytes, maxRetainedBytes), retained, budget, (end, bytes) -> ends++);
     }
 
     private static byte[] bytes(int count) {
         return new byte[count];
     }
 
-    /** Reads all that is there. */
+    /** Reader that reads on request and records whether it was dropped. */
     private static final class Reader implements ResponseReader {
         private final StringBuilder read = new StringBuilder();
         private ResponseBuffer.Cursor cursor;
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aReaderTooFarBehindIsDroppedAndItsBytesFreed() {
+    void readerBeyondUnreadLimitIsDroppedAndItsBytesAreFreed() {
         ResponseBuffer buffer = buffer(10, 0, false);
         Reader slow = Reader.on(buffer);
         Reader quick = Reader.on(buffer);
@@ -68,11 +68,11 @@
         assertEquals(4, budget.usedBytes());
         quick.read(1);
         assertEquals(0, budget.usedBytes());
-        assertNull(buffer.open(new Reader()), "the first bytes are gone");
+        assertNull(buffer.open(new Reader()), "the first bytes are freed");
     }
 
     @Test
-    void aKeptAnswerIsGivenWholeUntilItIsDiscardedOrTooLarge() {
+    void retainedResponseIsReplayedUntilDiscardedOrTooLarge() {
         ResponseBuffer buffer = buffer(100, 10, true);
         buffer.onBytes(bytes(10));
         Reader first = Reader.on(buffer);
@@ -89,11 +89,11 @@
         assertNull(large.open(new Reader()));
     }
 
-    // All memory is spent by other answers. A reader that keeps up goes on; one that is behind is dropped although it
-    // is
-    // within its own limit, so that the memory comes back.
+    // Other responses exhaust the memory budget. A reader that keeps up continues; one that is behind is dropped
+    // although
+    // it is within its own limit, so that memory is freed.
     @Test
-    void readersThatAreBehindGoFirstWhenMemoryIsSpent() {
+    void slowReadersAreDroppedWhenBudgetIsExhausted() {
         ResponseBuffer buffer = buffer(1 << 20, 0, false);
         Reader behind = Reader.on(buffer);
         Reader quick = Reader.on(buffer);
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void theEndIsToldOnceAndAfterTheLastByte() {
+    void endIsReportedOnceAndAfterTheLastByte() {
         ResponseBuffer buffer = buffer(100, 0, false);
         Reader reader = Reader.on(buffer);
         buffer.onHead(200, java.util.Map.of());
@@ -123,20 +123,20 @@
     }
 
     @Test
-    void theCustomerThatHoldsMostGivesUpItsOldestAnswers() {
-        ResponseCache kept = ResponseCache.of(10);
+    void customerWithMostCachedBytesLosesItsOldestResponses() {
+        ResponseCache cache = ResponseCache.of(10);
         CustomerId large = CustomerId.of("large");
         CustomerId small = CustomerId.of("small");
-        assertEquals(List.of(), kept.add(small, 1, 2));
-        assertEquals(List.of(), kept.add(large, 2, 4));
-        assertEquals(List.of(), kept.add(large, 3, 4));
-        assertEquals(List.of(2L), kept.add(small, 4, 1));
-        assertEquals(List.of(3L, 5L), kept.add(large, 5, 9));
+        assertEquals(List.of(), cache.add(small, 1, 2));
+        assertEquals(List.of(), cache.add(large, 2, 4));
+        assertEquals(List.of(), cache.add(large, 3, 4));
+        assertEquals(List.of(2L), cache.add(small, 4, 1));
+        assertEquals(List.of(3L, 5L), cache.add(large, 5, 9));
     }
 
-    /** Whatever the cuts, the events come whole, in order, and nothing else. */
+    /** However the stream is split into chunks, the results are complete events in order. */
     @Test
-    void eventsPassWholeHoweverTheyAreCut() {
+    void eventsAreCompleteForAnyChunkBoundaries() {
         String stream = "data: 1\n\n: c\r\n\r\ndata: 2\rid: 7\r\rdata: 33\n\ndata: [DONE]\n\nrest";
         Random random = new Random(11);
         for (int run = 0; run < 500; run++) {
@@ -157,7 +157,7 @@
                 from = to;
             }
             assertTrue(framer.atBoundary());
-            assertEquals("rest", new String(framer.rest(), StandardCharsets.UTF_8).strip());
+            assertEquals("rest", new String(framer.remainder(), StandardCharsets.UTF_8).strip());
             assertTrue(stream.startsWith(passed.toString()));
         }
     }
