--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerMetrics.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerMetrics.java
@@ -15,15 +15,15 @@
 import org.marjoramswitch.kernel.error.ErrorType;
 
 /**
- * Counts of the callers' side: in all, by outcome, by the error that ended a request, and, on routes, by their kind. All
- * names are known from the start, so their number does not grow with what callers send.
+ * Metrics of the caller-facing server: in total, by outcome, by the error that ended a request and, on routes, by route
+ * kind. All metrics are registered at the start, so callers cannot increase their number.
  */
 final class CallerMetrics {
     private final Counter openRequests;
     private final Meter receivedRequests;
     private final Timer waits;
     private final Timer totals;
-    private final Map<AnswerWriter.Outcome, Meter> outcomes = new EnumMap<>(AnswerWriter.Outcome.class);
+    private final Map<ResponseWriter.Outcome, Meter> outcomes = new EnumMap<>(ResponseWriter.Outcome.class);
     private final Map<ErrorType, Meter> errors = new EnumMap<>(ErrorType.class);
     private final Map<RouteKind, KindMetrics> kinds = new EnumMap<>(RouteKind.class);
 
@@ -34,7 +34,7 @@
         receivedRequests = registry.meter("caller.requests");
         waits = registry.timer("caller.wait");
         totals = registry.timer("caller.total");
-        for (AnswerWriter.Outcome outcome : AnswerWriter.Outcome.values()) {
+        for (ResponseWriter.Outcome outcome : ResponseWriter.Outcome.values()) {
             outcomes.put(outcome, registry.meter("caller." + lower(outcome)));
         }
         for (ErrorType error : ErrorType.values()) {
@@ -53,13 +53,13 @@
         return openRequests.getCount();
     }
 
-    void began() {
+    void started() {
         openRequests.inc();
         receivedRequests.mark();
     }
 
-    /** @param route null where the request found none */
-    void ended(@Nullable Route route, AnswerWriter.Result result, long waitMs, long totalMs, long pauseMs) {
+    /** @param route null if the request matched none */
+    void ended(@Nullable Route route, ResponseWriter.Result result, long waitMs, long totalMs, long pauseMs) {
         openRequests.dec();
         mark(outcomes.get(result.outcome()));
         if (result.failure() != null) {
@@ -84,10 +84,10 @@
     }
 
     /**
-     * Requests of one kind.
+     * Metrics of one route kind.
      *
-     * @param firstBytes until the first byte of an answer that was whole
-     * @param pauses the longest pause of each such answer
+     * @param firstBytes time to the first byte of complete responses
+     * @param pauses longest pause within each complete response
      */
     private record KindMetrics(Meter answered, Meter others, Timer firstBytes, Timer pauses) {
         static KindMetrics of(MetricRegistry registry, String prefix) {
@@ -98,8 +98,8 @@
                     registry.timer(prefix + ".longest_pause"));
         }
 
-        void ended(AnswerWriter.Outcome outcome, long waitMs, long pauseMs) {
-            if (outcome != AnswerWriter.Outcome.ANSWERED) {
+        void ended(ResponseWriter.Outcome outcome, long waitMs, long pauseMs) {
+            if (outcome != ResponseWriter.Outcome.ANSWERED) {
                 others.mark();
                 return;
             }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/HttpAttempt.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/HttpAttempt.java
@@ -10,7 +10,7 @@
 import org.marjoramswitch.daemon.exchange.TargetCall;
 import org.marjoramswitch.daemon.exchange.TargetClient.Attempt;
 import org.marjoramswitch.daemon.exchange.TargetClient.AttemptListener;
-import org.marjoramswitch.daemon.exchange.TargetNotice;
+import org.marjoramswitch.daemon.exchange.TargetStatusNotice;
 import org.marjoramswitch.kernel.model.TargetOutcome;
 import org.marjoramswitch.kernel.model.Usage;
 import org.xnio.XnioIoThread;
@@ -145,7 +145,7 @@
     }
 
     private void send(ClientConnection usable) {
-        if (sending.isOver(System.nanoTime())) {
+        if (sending.isExpired(System.nanoTime())) {
             // On a busy instance the decisions' own end of the request may come after its turn here or its connection.
             // Sent
             // now, the target would work for nobody.
@@ -201,7 +201,7 @@
             broken();
             return;
         }
-        TargetNotice notice = opened.notice();
+        TargetStatusNotice notice = opened.notice();
         if (!notice.isNone()) {
             log.notice(notice);
             listener.onNotice(notice);
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/AnswerBufferTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/ResponseBufferTest.java
@@ -11,26 +11,26 @@
 import org.junit.jupiter.api.Test;
 import org.marjoramswitch.kernel.model.CustomerId;
 
-class AnswerBufferTest {
+class ResponseBufferTest {
     private final MemoryBudget budget = MemoryBudget.of(1_000_000);
     private int ends;
 
-    private AnswerBuffer buffer(int unreadBytes, int keptBytes, boolean kept) {
-        return AnswerBuffer.create(
-                new AnswerBuffer.Limits(unreadBytes, keptBytes), kept, budget, (end, bytes) -> ends++);
+    private ResponseBuffer buffer(int maxUnreadBytes, int maxRetainedBytes, boolean retained) {
+        return ResponseBuffer.create(
+                new ResponseBuffer.Limits(maxUnreadBytes, maxRetainedBytes), retained, budget, (end, bytes) -> ends++);
     }
 
     private static byte[] bytes(int count) {
         return new byte[count];
     }
 
-    /** Reads all that is there. */
-    private static final class Reader implements AnswerReader {
+    /** Reader that reads on request and records whether it was dropped. */
+    private static final class Reader implements ResponseReader {
         private final StringBuilder read = new StringBuilder();
-        private AnswerBuffer.Cursor cursor;
+        private ResponseBuffer.Cursor cursor;
         private boolean dropped;
 
-        static Reader on(AnswerBuffer buffer) {
+        static Reader on(ResponseBuffer buffer) {
             Reader reader = new Reader();
             reader.cursor = buffer.open(reader);
             return reader;
@@ -56,8 +56,8 @@
     }
 
     @Test
-    void aReaderTooFarBehindIsDroppedAndItsBytesFreed() {
-        AnswerBuffer buffer = buffer(10, 0, false);
+    void readerBeyondUnreadLimitIsDroppedAndItsBytesAreFreed() {
+        ResponseBuffer buffer = buffer(10, 0, false);
         Reader slow = Reader.on(buffer);
         Reader quick = Reader.on(buffer);
         buffer.onBytes(bytes(8));
@@ -68,33 +68,33 @@
         assertEquals(4, budget.usedBytes());
         quick.read(1);
         assertEquals(0, budget.usedBytes());
-        assertNull(buffer.open(new Reader()), "the first bytes are gone");
+        assertNull(buffer.open(new Reader()), "the first bytes are freed");
     }
 
     @Test
-    void aKeptAnswerIsGivenWholeUntilItIsDiscardedOrTooLarge() {
-        AnswerBuffer buffer = buffer(100, 10, true);
+    void retainedResponseIsReplayedUntilDiscardedOrTooLarge() {
+        ResponseBuffer buffer = buffer(100, 10, true);
         buffer.onBytes(bytes(10));
         Reader first = Reader.on(buffer);
         first.read(1);
         assertEquals(10, first.read.length());
-        AnswerBuffer.Cursor second = buffer.open(new Reader());
+        ResponseBuffer.Cursor second = buffer.open(new Reader());
         assertNotNull(second);
         second.close();
         buffer.discard();
         assertEquals(0, budget.usedBytes());
         assertNull(buffer.open(new Reader()));
-        AnswerBuffer large = buffer(100, 10, true);
+        ResponseBuffer large = buffer(100, 10, true);
         large.onBytes(bytes(11));
         assertNull(large.open(new Reader()));
     }
 
-    // All memory is spent by other answers. A reader that keeps up goes on; one that is behind is dropped although it
-    // is
-    // within its own limit, so that the memory comes back.
+    // Other responses exhaust the memory budget. A reader that keeps up continues; one that is behind is dropped
+    // although
+    // it is within its own limit, so that memory is freed.
     @Test
-    void readersThatAreBehindGoFirstWhenMemoryIsSpent() {
-        AnswerBuffer buffer = buffer(1 << 20, 0, false);
+    void slowReadersAreDroppedWhenBudgetIsExhausted() {
+        ResponseBuffer buffer = buffer(1 << 20, 0, false);
         Reader behind = Reader.on(buffer);
         Reader quick = Reader.on(buffer);
         buffer.onBytes(bytes(20_000));
@@ -108,8 +108,8 @@
     }
 
     @Test
-    void theEndIsToldOnceAndAfterTheLastByte() {
-        AnswerBuffer buffer = buffer(100, 0, false);
+    void endIsReportedOnceAndAfterTheLastByte() {
+        ResponseBuffer buffer = buffer(100, 0, false);
         Reader reader = Reader.on(buffer);
         buffer.onHead(200, java.util.Map.of());
         buffer.onBytes(bytes(1));
@@ -119,24 +119,24 @@
         assertEquals(1, reader.cursor.knownLength());
         assertNull(reader.cursor.end());
         reader.read(1);
-        assertEquals(new AnswerEnd.Complete(), reader.cursor.end());
+        assertEquals(new ResponseEnd.Complete(), reader.cursor.end());
     }
 
     @Test
-    void theCustomerThatHoldsMostGivesUpItsOldestAnswers() {
-        KeptAnswers kept = KeptAnswers.of(10);
+    void customerWithMostCachedBytesLosesItsOldestResponses() {
+        ResponseCache cache = ResponseCache.of(10);
         CustomerId large = CustomerId.of("large");
         CustomerId small = CustomerId.of("small");
-        assertEquals(List.of(), kept.add(small, 1, 2));
-        assertEquals(List.of(), kept.add(large, 2, 4));
-        assertEquals(List.of(), kept.add(large, 3, 4));
-        assertEquals(List.of(2L), kept.add(small, 4, 1));
-        assertEquals(List.of(3L, 5L), kept.add(large, 5, 9));
+        assertEquals(List.of(), cache.add(small, 1, 2));
+        assertEquals(List.of(), cache.add(large, 2, 4));
+        assertEquals(List.of(), cache.add(large, 3, 4));
+        assertEquals(List.of(2L), cache.add(small, 4, 1));
+        assertEquals(List.of(3L, 5L), cache.add(large, 5, 9));
     }
 
-    /** Whatever the cuts, the events come whole, in order, and nothing else. */
+    /** However the stream is split into chunks, the results are complete events in order. */
     @Test
-    void eventsPassWholeHoweverTheyAreCut() {
+    void eventsAreCompleteForAnyChunkBoundaries() {
         String stream = "data: 1\n\n: c\r\n\r\ndata: 2\rid: 7\r\rdata: 33\n\ndata: [DONE]\n\nrest";
         Random random = new Random(11);
         for (int run = 0; run < 500; run++) {
@@ -157,7 +157,7 @@
                 from = to;
             }
             assertTrue(framer.atBoundary());
-            assertEquals("rest", new String(framer.rest(), StandardCharsets.UTF_8).strip());
+            assertEquals("rest", new String(framer.remainder(), StandardCharsets.UTF_8).strip());
             assertTrue(stream.startsWith(passed.toString()));
         }
     }
