--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/EarlyRefusalTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/EarlyRefusalTest.java
@@ -24,8 +24,9 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * One engine that reads 60 tokens a millisecond, asked for more than it can read within the objective. Those who cannot
- * have their turn in time hear so when they ask and not when their objective is over.
+ * Guards against requests that cannot be started in time being rejected only at the end of their objective instead of
+ * on arrival. One engine that prefills 60 tokens per millisecond receives more requests than it can prefill within the
+ * objective.
  */
 class EarlyRefusalTest {
     private static final PoolId POOL = PoolId.of("pool");
@@ -36,18 +37,18 @@
     private static final int PROMPT_TOKENS = 3_000;
     private static final long OBJECTIVE_MS = 600;
     private static final long FIXED_MS = 30;
-    private static final long TOKENS_PER_MS = 60;
+    private static final long PREFILL_TOKENS_PER_MS = 60;
 
     private final PlacementArbiter arbiter =
             PlacementArbiter.create(CELL, PoolSettings.modelEngines(POOL), customer -> 1);
     private final Set<Long> placed = new HashSet<>();
-    private final Set<Long> refused = new HashSet<>();
+    private final Set<Long> rejected = new HashSet<>();
     private long nowMs = 10_000;
-    private long asks;
-    private long firstAsk;
+    private long lastId;
+    private long firstId;
 
     @BeforeEach
-    void aKnownEngine() {
+    void createCalibratedEngine() {
         arbiter.targets(
                 List.of(new TargetSettings(
                         TargetId.of("t1"),
@@ -59,50 +60,50 @@
                         false,
                         EngineMemory.of(1_000_000))),
                 Set.of());
-        thirtyRequestsAlone();
+        sendThirtySingleRequests();
     }
 
-    /** What engines can do is known before anybody is refused for it. */
-    private void thirtyRequestsAlone() {
+    /** Early rejection requires enough observations of the engine's speed. */
+    private void sendThirtySingleRequests() {
         for (int i = 0; i < 30; i++) {
-            ask(LIGHT);
-            nowMs += FIXED_MS + PROMPT_TOKENS / TOKENS_PER_MS;
-            arbiter.answering(ENTRY, asks, nowMs);
-            arbiter.ended(ENTRY, new PeerMessage.PlacementEnded(CELL, asks, 10, PlacementEnd.SERVED), nowMs);
+            send(LIGHT);
+            nowMs += FIXED_MS + PROMPT_TOKENS / PREFILL_TOKENS_PER_MS;
+            arbiter.answering(ENTRY, lastId, nowMs);
+            arbiter.ended(ENTRY, new PeerMessage.PlacementEnded(CELL, lastId, 10, PlacementEnd.SERVED), nowMs);
             nowMs += 1_000;
         }
         placed.clear();
-        asks += 1_000;
-        firstAsk = asks + 1;
+        lastId += 1_000;
+        firstId = lastId + 1;
     }
 
-    /** Ten requests are half a second of reading; the later ones of 30 at once are refused at once. */
+    /** Ten requests are half a second of prefill; of 30 sent together, the later ones are rejected on arrival. */
     @Test
-    void whoComesBehindMoreThanTheEngineReadsIsRefusedOnArrival() {
+    void requestsBeyondTheEnginesCapacityAreRejectedOnArrival() {
         for (int i = 0; i < 30; i++) {
-            ask(HEAVY);
+            send(HEAVY);
         }
         assertTrue(placed.size() >= 1 && placed.size() <= 3, "placed " + placed);
-        assertTrue(refused.size() >= 15, "refused " + refused);
-        assertTrue(refused.stream().allMatch(ask -> ask > firstAsk + 5), "refused " + refused);
+        assertTrue(rejected.size() >= 15, "rejected " + rejected);
+        assertTrue(rejected.stream().allMatch(id -> id > firstId + 5), "rejected " + rejected);
     }
 
-    /** The other customer's queue is no reason: its turn comes before most of that. */
+    /** The request of the other customer is served before most of the first customer's queue. */
     @Test
-    void aLightCustomerIsNotRefusedForAnothersQueue() {
+    void aCustomerIsNotRejectedBecauseOfAnotherCustomersQueue() {
         for (int i = 0; i < 30; i++) {
-            ask(HEAVY);
+            send(HEAVY);
         }
-        ask(LIGHT);
-        assertFalse(refused.contains(asks), "refused " + refused);
+        send(LIGHT);
+        assertFalse(rejected.contains(lastId), "rejected " + rejected);
     }
 
-    private void ask(CustomerId customer) {
-        asks++;
-        List<PromptPart> prompt = List.of(PromptPart.of(100 + asks, PROMPT_TOKENS));
+    private void send(CustomerId customer) {
+        lastId++;
+        List<PromptPart> prompt = List.of(PromptPart.of(100 + lastId, PROMPT_TOKENS));
         arbiter.place(
                 ENTRY,
-                new PeerMessage.Place(CELL, asks, customer, 1, prompt, 10, OBJECTIVE_MS, 8_000, List.of()),
+                new PeerMessage.Place(CELL, lastId, customer, 1, prompt, 10, OBJECTIVE_MS, 8_000, List.of()),
                 nowMs);
         List<Action> actions = new ArrayList<>();
         arbiter.decide(nowMs, actions::add);
@@ -113,7 +114,7 @@
             if (send.message() instanceof PeerMessage.Placed message) {
                 placed.add(message.ask());
             } else if (send.message() instanceof PeerMessage.NotPlaced message) {
-                refused.add(message.ask());
+                rejected.add(message.ask());
             }
         }
     }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/FetchingTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/FetchingTest.java
@@ -27,8 +27,8 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * One session, one engine that has read it and is full: its next request goes to another engine, which fetches what the
- * first one keeps, if it can be there.
+ * The engine that has prefilled a session is full: the session's next request goes to another engine, which fetches the
+ * cached parts from the first one if possible.
  */
 class FetchingTest {
     private static final PoolId POOL = PoolId.of("pool");
@@ -41,7 +41,7 @@
 
     private PlacementArbiter arbiter = arbiter(PlacementPolicy.full());
     private long nowMs = 10_000;
-    private long asks;
+    private long lastId;
 
     @BeforeEach
     void engines() {
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void whatAnEngineHasReadIsFetchedFromIt() {
+    void prefilledPartsAreFetched() {
         PeerMessage.Placed first = place();
         answering();
         PeerMessage.Placed second = place();
@@ -58,24 +58,24 @@
         assertEquals(first.target(), second.fetchFrom());
     }
 
-    /** The engine was sent the prompt and has not read it: another one would find nothing there. */
+    /** The engine has received the prompt but not prefilled it, so there is nothing to fetch yet. */
     @Test
-    void nothingIsFetchedBeforeItWasRead() {
+    void nothingIsFetchedBeforeItIsPrefilled() {
         place();
         assertNull(place().fetchFrom());
     }
 
     @Test
-    void nothingIsFetchedFromAnEngineThatIsGone() {
+    void nothingIsFetchedFromARemovedEngine() {
         TargetId first = place().target();
         answering();
         arbiter.targets(settings(FETCHING, "dc-1", "dc-1", "dc-2"), Set.of(first));
         assertNull(place().fetchFrom());
     }
 
-    /** It has the name and the address of before, and has forgotten what it had read. */
+    /** A restarted engine has the same name and address but an empty cache. */
     @Test
-    void nothingIsFetchedFromAnEngineThatStartedAgain() {
+    void nothingIsFetchedFromARestartedEngine() {
         TargetId first = place().target();
         answering();
         arbiter.targets(
@@ -87,13 +87,13 @@
         assertNull(second.fetchFrom());
     }
 
-    /** An engine that failed several requests in a row may be dark, and a fetch from it would wait for nothing. */
+    /** An engine that failed several requests in a row may be unreachable, and a fetch from it would only time out. */
     @Test
-    void nothingIsFetchedFromAnEngineThatIsAvoided() {
+    void nothingIsFetchedFromAnEjectedEngine() {
         TargetId first = place().target();
         answering();
         for (int i = 0; i < 4; i++) {
-            end(asks, PlacementEnd.FAILED);
+            end(lastId, PlacementEnd.FAILED);
             PeerMessage.Placed next = place();
             if (!next.target().equals(first)) {
                 assertNull(next.fetchFrom());
@@ -101,12 +101,12 @@
             }
             answering();
         }
-        throw new AssertionError("the failing engine was never avoided");
+        throw new AssertionError("the failing engine was never ejected");
     }
 
-    /** Two engines in each of two data centres; those that have read the session are one in each. */
+    /** Two engines in each of two data centres; one in each has prefilled the session. */
     @Test
-    void theNearerOfTwoSourcesIsTaken() {
+    void theSourceInTheSameDataCentreIsPreferred() {
         List<PromptPart> prompt = List.of(PromptPart.of(1, SESSION_TOKENS), PromptPart.of(9, 40));
         PromptPartIndex partIndex = new PromptPartIndex();
         List<TargetLoad> engines = settings(FETCHING, "dc-1", "dc-2", "dc-1", "dc-2").stream()
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void nothingIsFetchedWhereEnginesDoNotOfferIt() {
+    void nothingIsFetchedIfEnginesDoNotSupportFetching() {
         arbiter = arbiter(PlacementPolicy.full());
         engines(EngineMemory.of(100_000), "dc-1", "dc-1");
         place();
@@ -128,9 +128,9 @@
         assertNull(place().fetchFrom());
     }
 
-    /** On slow links the reading is over before the transfer would be. */
+    /** On slow links the prefill takes less time than the transfer. */
     @Test
-    void nothingIsFetchedWhereReadingIsFaster() {
+    void nothingIsFetchedIfPrefillIsFaster() {
         arbiter = arbiter(PlacementPolicy.full());
         engines(EngineMemory.fetching(100_000, 1), "dc-1", "dc-1");
         place();
@@ -169,13 +169,14 @@
         return engines;
     }
 
-    /** A request of the session with a last part of its own; it has to be placed at once. */
+    /** Places a request of the session with a last part of its own; fails unless it is placed immediately. */
     private PeerMessage.Placed place() {
-        asks++;
+        lastId++;
         List<PromptPart> prompt =
-                List.of(PromptPart.of(1, 500), PromptPart.of(2, SESSION_TOKENS), PromptPart.of(100 + asks, 40));
+                List.of(PromptPart.of(1, 500), PromptPart.of(2, SESSION_TOKENS), PromptPart.of(100 + lastId, 40));
         nowMs += 50;
-        arbiter.place(ENTRY, new PeerMessage.Place(CELL, asks, CUSTOMER, 1, prompt, 10, 600, 8_000, List.of()), nowMs);
+        arbiter.place(
+                ENTRY, new PeerMessage.Place(CELL, lastId, CUSTOMER, 1, prompt, 10, 600, 8_000, List.of()), nowMs);
         List<Action> actions = new ArrayList<>();
         arbiter.decide(nowMs, actions::add);
         PeerMessage.Placed placed = placedIn(actions);
@@ -187,11 +188,11 @@
 
     private void answering() {
         nowMs += 60;
-        arbiter.answering(ENTRY, asks, nowMs);
+        arbiter.answering(ENTRY, lastId, nowMs);
     }
 
-    private void end(long ask, PlacementEnd end) {
-        arbiter.ended(ENTRY, new PeerMessage.PlacementEnded(CELL, ask, 10, end), nowMs);
+    private void end(long id, PlacementEnd end) {
+        arbiter.ended(ENTRY, new PeerMessage.PlacementEnded(CELL, id, 10, end), nowMs);
     }
 
     private static PeerMessage.@Nullable Placed placedIn(List<Action> actions) {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/PlacementArbiterTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/PlacementArbiterTest.java
@@ -39,129 +39,134 @@
     private final PlacementArbiter arbiter =
             PlacementArbiter.create(CELL, PoolSettings.plainServices(POOL), customer -> 1);
     private final Map<Long, TargetId> placed = new HashMap<>();
-    private final Map<Long, Long> refused = new HashMap<>();
+    private final Map<Long, Long> rejected = new HashMap<>();
     private long nowMs = 10_000;
-    private long asks;
+    private long lastId;
 
     @Test
-    void requestsGoToTheTargetWithTheMostRoom() {
+    void requestsGoToTheTargetWithTheMostFreeSlots() {
         targets("t1", "t2");
         TargetId first = place();
         assertNotEquals(first, place());
     }
 
     @Test
-    void aRequestWaitsForASlotAndGetsItAtOnce() {
+    void aWaitingRequestStartsAsSoonAsASlotIsFree() {
         targets("t1");
         place();
-        long running = asks;
+        long running = lastId;
         place();
         assertNull(place());
-        long waiting = asks;
+        long waiting = lastId;
         end(running, PlacementEnd.SERVED);
         assertEquals(TargetId.of("t1"), placed.get(waiting));
     }
 
     /**
-     * Callers of the pool see no more than a handful of failures. One of two targets has died and refuses each
-     * connection at once, so its slots are always free and it looks like the better one.
+     * Guards against many failures at one crashed target. It refuses each connection immediately, so that its slots are
+     * always free and it looks like the better of two targets.
      */
     @Test
-    void aTargetThatRefusesAtOnceDoesNotDrawTheQueue() {
+    void aTargetThatRefusesConnectionsDoesNotAttractTheQueue() {
         targets("dead", "sound");
-        int sentToDead = 0;
+        int sentToCrashed = 0;
         for (int i = 0; i < 40; i++) {
             TargetId target = place();
-            boolean dead = TargetId.of("dead").equals(target);
-            sentToDead += dead ? 1 : 0;
+            boolean crashed = TargetId.of("dead").equals(target);
+            sentToCrashed += crashed ? 1 : 0;
             nowMs += 5;
-            end(asks, dead ? PlacementEnd.REFUSED : PlacementEnd.SERVED);
+            end(lastId, crashed ? PlacementEnd.REFUSED : PlacementEnd.SERVED);
         }
-        assertTrue(sentToDead <= 3, "sent to the dead target: " + sentToDead);
+        assertTrue(sentToCrashed <= 3, "sent to the crashed target: " + sentToCrashed);
     }
 
-    /** With most targets failing the fault is elsewhere; leaving them all out would end the service. */
+    /** If most targets fail, the cause is elsewhere; excluding them all would stop the service. */
     @Test
-    void targetsAreUsedWhereAllOfThemFail() {
+    void targetsAreUsedIfAllOfThemFail() {
         targets("t1", "t2");
         for (int i = 0; i < 20; i++) {
             place();
-            end(asks, PlacementEnd.FAILED);
+            end(lastId, PlacementEnd.FAILED);
         }
         assertTrue(place() != null);
     }
 
-    /** Callers of a slow target wait longer; it gets little until it is as fast as the others again. */
+    /** Requests at a slow target take longer, so it gets few until it is as fast as the others again. */
     @Test
-    void aSlowTargetGetsLittle() {
+    void aSlowTargetGetsFewRequests() {
         targets("slow", "fast");
         int sentToSlow = 0;
         for (int i = 0; i < 60; i++) {
             boolean slow = TargetId.of("slow").equals(place());
             sentToSlow += slow ? 1 : 0;
             nowMs += slow ? 500 : 60;
-            end(asks, PlacementEnd.SERVED);
+            end(lastId, PlacementEnd.SERVED);
         }
         assertTrue(sentToSlow < 20, "sent to the slow target: " + sentToSlow);
     }
 
-    /** Requests come one at a time, so no load speaks for the target that was slow once; it gets another chance. */
+    /**
+     * Requests arrive one at a time, so that the load never favours the target that was slow once; it must still be
+     * tried again.
+     */
     @Test
     void aTargetThatWasSlowOnceIsTriedAgain() {
         targets("t1", "t2");
         TargetId slow = place();
         nowMs += 400;
-        end(asks, PlacementEnd.SERVED);
+        end(lastId, PlacementEnd.SERVED);
         boolean triedAgain = false;
         for (int i = 0; i < 300; i++) {
             triedAgain = triedAgain || place().equals(slow);
             nowMs += 50;
-            end(asks, PlacementEnd.SERVED);
+            end(lastId, PlacementEnd.SERVED);
             nowMs += 50;
         }
         assertTrue(triedAgain);
     }
 
-    /** The light customer's one request goes before the ten of the heavy one that came earlier. */
+    /**
+     * The one request of a customer with low demand is served before ten earlier ones of a customer with high demand.
+     */
     @Test
-    void aLightCustomerGoesBeforeAHeavyOne() {
+    void aLightCustomerIsServedBeforeAHeavyOne() {
         targets("t1");
         place();
-        long firstRunning = asks;
+        long firstRunning = lastId;
         place();
         for (int i = 0; i < 10; i++) {
             place();
         }
-        ask(ENTRY, CustomerId.of("light"), List.of(), OBJECTIVE_MS, List.of());
-        long light = asks;
+        send(ENTRY, CustomerId.of("light"), List.of(), OBJECTIVE_MS, List.of());
+        long light = lastId;
         end(firstRunning, PlacementEnd.SERVED);
         assertEquals(TargetId.of("t1"), placed.get(light));
     }
 
     @Test
-    void aSessionStaysWhereItWasRead() {
+    void aSessionStaysOnTheEngineThatCachesIt() {
         targets("t1", "t2", "t3");
         List<PromptPart> session = List.of(PromptPart.of(1, 500), PromptPart.of(2, 5_000));
         TargetId home = placePrompt(session, 90);
         for (int i = 0; i < 5; i++) {
-            end(asks, PlacementEnd.SERVED);
+            end(lastId, PlacementEnd.SERVED);
             nowMs += 100;
             assertEquals(home, placePrompt(session, 100 + i));
         }
     }
 
-    /** A new arbiter knows no caches; it sends a session where any other arbiter would. */
+    /** A new arbiter knows no caches and must send a session to the same engine as any other arbiter. */
     @Test
-    void twoArbitersNameTheSameEngineForASession() {
+    void twoArbitersSelectTheSameEngineForASession() {
         PlacementArbiter other = PlacementArbiter.create(CELL, PoolSettings.plainServices(POOL), customer -> 1);
         targets("t1", "t2", "t3", "t4");
         other.targets(settings("t1", "t2", "t3", "t4"), Set.of());
         for (long session = 50; session < 60; session++) {
             List<PromptPart> prompt = List.of(PromptPart.of(session, 3_000), PromptPart.of(1_000 + session, 10));
-            ask(ENTRY, CUSTOMER, prompt, OBJECTIVE_MS, List.of());
-            TargetId here = placed.get(asks);
-            end(asks, PlacementEnd.SERVED);
-            other.place(OTHER_ENTRY, message(asks, CUSTOMER, prompt, OBJECTIVE_MS, List.of()), nowMs);
+            send(ENTRY, CUSTOMER, prompt, OBJECTIVE_MS, List.of());
+            TargetId here = placed.get(lastId);
+            end(lastId, PlacementEnd.SERVED);
+            other.place(OTHER_ENTRY, message(lastId, CUSTOMER, prompt, OBJECTIVE_MS, List.of()), nowMs);
             List<Action> actions = new ArrayList<>();
             other.decide(nowMs, actions::add);
             assertEquals(here, placedIn(actions).findFirst().orElseThrow().target());
@@ -169,99 +174,99 @@
         }
     }
 
-    /** The caller is told at the end of its useful time, with when to come back, and not at its deadline. */
+    /** A request is rejected with a retry delay when it can no longer be useful, not at its deadline. */
     @Test
-    void aRequestThatCannotBeInTimeIsRefusedSoon() {
+    void aRequestThatCannotMeetItsObjectiveIsRejectedBeforeItsDeadline() {
         targets("t1");
         place();
         place();
         place();
-        long waiting = asks;
+        long waiting = lastId;
         for (int i = 0; i < 250; i++) {
             nowMs += 10;
             decide();
         }
         assertNull(placed.get(waiting));
-        assertTrue(refused.get(waiting) > 0);
+        assertTrue(rejected.get(waiting) > 0);
     }
 
-    /** Nothing is gained by holding it: every target is full, and its caller could ask elsewhere or later. */
+    /** Holding has no benefit: all targets are full, and the caller could send its request elsewhere or later. */
     @Test
-    void aLateRequestIsNotHeldBeforeFullTargets() {
+    void aLateRequestIsNotHeldIfAllTargetsAreFull() {
         targets("t1");
         place();
         place();
-        ask(ENTRY, CUSTOMER, List.of(), -100, List.of());
-        assertTrue(refused.get(asks) > 0);
+        send(ENTRY, CUSTOMER, List.of(), -100, List.of());
+        assertTrue(rejected.get(lastId) > 0);
     }
 
     @Test
-    void aLateRequestIsServedWhereATargetHasTime() {
+    void aLateRequestIsServedByATargetWithSpareCapacity() {
         targets("t1");
-        ask(ENTRY, CUSTOMER, List.of(), -100, List.of());
-        assertEquals(TargetId.of("t1"), placed.get(asks));
+        send(ENTRY, CUSTOMER, List.of(), -100, List.of());
+        assertEquals(TargetId.of("t1"), placed.get(lastId));
     }
 
-    /** Callers refused together do not come back together, and the one with more time left comes back later. */
+    /** Requests rejected together get different retry delays, so that they do not return together. */
     @Test
-    void refusedCallersAreToldDifferentTimes() {
+    void rejectedRequestsGetDifferentRetryDelays() {
         targets("t1");
         place();
         place();
-        Set<Long> told = new HashSet<>();
+        Set<Long> retryDelaysMs = new HashSet<>();
         for (int i = 0; i < 8; i++) {
-            ask(ENTRY, CUSTOMER, List.of(), -100, List.of());
-            told.add(refused.get(asks));
+            send(ENTRY, CUSTOMER, List.of(), -100, List.of());
+            retryDelaysMs.add(rejected.get(lastId));
         }
-        assertEquals(8, told.size());
-        assertTrue(told.stream().allMatch(retryAfterMs -> retryAfterMs >= 1_500 && retryAfterMs <= 2_500));
+        assertEquals(8, retryDelaysMs.size());
+        assertTrue(retryDelaysMs.stream().allMatch(retryAfterMs -> retryAfterMs >= 1_500 && retryAfterMs <= 2_500));
     }
 
     @Test
-    void aTargetThatFailedARequestIsLeftOutForIt() {
+    void aTargetThatFailedARequestIsExcludedForIt() {
         targets("t1", "t2");
-        ask(ENTRY, CUSTOMER, List.of(), OBJECTIVE_MS, List.of(TargetId.of("t1")));
-        assertEquals(TargetId.of("t2"), placed.get(asks));
-        ask(ENTRY, CUSTOMER, List.of(), OBJECTIVE_MS, List.of(TargetId.of("t1"), TargetId.of("t2")));
-        assertTrue(placed.get(asks) != null);
+        send(ENTRY, CUSTOMER, List.of(), OBJECTIVE_MS, List.of(TargetId.of("t1")));
+        assertEquals(TargetId.of("t2"), placed.get(lastId));
+        send(ENTRY, CUSTOMER, List.of(), OBJECTIVE_MS, List.of(TargetId.of("t1"), TargetId.of("t2")));
+        assertTrue(placed.get(lastId) != null);
     }
 
-    /** A new arbiter that was told of running requests gives their slots to nobody else. */
+    /** A new arbiter that receives the list of running requests does not give their slots to other requests. */
     @Test
     void runningRequestsAreTakenOver() {
         targets("t1");
         List<PeerMessage.HeldPlacement> held = new ArrayList<>();
-        for (long ask = 1; ask <= SLOTS; ask++) {
-            held.add(new PeerMessage.HeldPlacement(ask, CUSTOMER, TargetId.of("t1"), 0, 0, true));
+        for (long id = 1; id <= SLOTS; id++) {
+            held.add(new PeerMessage.HeldPlacement(id, CUSTOMER, TargetId.of("t1"), 0, 0, true));
         }
         arbiter.takeOver(OTHER_ENTRY, new PeerMessage.PlacementsHeld(CELL, held), nowMs);
         assertNull(place());
-        long waiting = asks;
+        long waiting = lastId;
         arbiter.removeEntry(OTHER_ENTRY, nowMs);
         decide();
         assertEquals(TargetId.of("t1"), placed.get(waiting));
     }
 
     /**
-     * Callers wait beside an idle target. It crashed with its slots full and started again under its name; the ends of what
-     * ran there are still on their way, and its slots looked taken.
+     * Guards against requests that wait although a target is idle. The target crashed with full slots and restarted
+     * under the same name; the ends of its former requests have not arrived yet, so its slots seemed occupied.
      */
     @Test
-    void aTargetThatStartsAgainHasAllItsSlots() {
+    void aRestartedTargetHasAllItsSlots() {
         targets("t1");
-        List<Long> running = List.of(asks + 1, asks + 2);
+        List<Long> running = List.of(lastId + 1, lastId + 2);
         place();
         place();
         assertNull(place());
-        startAgain("t1", 1);
+        restart("t1", 1);
         decide();
-        assertEquals(TargetId.of("t1"), placed.get(asks));
+        assertEquals(TargetId.of("t1"), placed.get(lastId));
         assertEquals(TargetId.of("t1"), place());
-        // Both slots of the new start are taken. What failed with the former one frees none of them and does not count
-        // against it.
+        // Both slots of the restarted target are in use. Failures from before the restart free none of them and do not
+        // count against it.
         place();
-        long waiting = asks;
-        running.forEach(ask -> end(ask, PlacementEnd.FAILED));
+        long waiting = lastId;
+        running.forEach(id -> end(id, PlacementEnd.FAILED));
         assertNull(placed.get(waiting));
         end(waiting - 1, PlacementEnd.SERVED);
         assertEquals(TargetId.of("t1"), placed.get(waiting));
@@ -271,10 +276,10 @@
     void aWithdrawnRequestIsNotPlaced() {
         targets("t1");
         place();
-        long running = asks;
+        long running = lastId;
         place();
         place();
-        long waiting = asks;
+        long waiting = lastId;
         arbiter.withdraw(ENTRY, waiting);
         end(running, PlacementEnd.SERVED);
         assertNull(placed.get(waiting));
@@ -284,11 +289,11 @@
         arbiter.targets(settings(names), Set.of());
     }
 
-    private void startAgain(String name, long startedAtMs) {
-        List<TargetSettings> started = settings(name).stream()
+    private void restart(String name, long startedAtMs) {
+        List<TargetSettings> restarted = settings(name).stream()
                 .map(settings -> settings.withStart(startedAtMs))
                 .toList();
-        arbiter.targets(started, Set.of());
+        arbiter.targets(restarted, Set.of());
     }
 
     private static List<TargetSettings> settings(String... names) {
@@ -299,31 +304,31 @@
     }
 
     private @Nullable TargetId place() {
-        ask(ENTRY, CUSTOMER, List.of(), OBJECTIVE_MS, List.of());
-        return placed.get(asks);
+        send(ENTRY, CUSTOMER, List.of(), OBJECTIVE_MS, List.of());
+        return placed.get(lastId);
     }
 
     private @Nullable TargetId placePrompt(List<PromptPart> session, long own) {
         List<PromptPart> prompt = new ArrayList<>(session);
         prompt.add(PromptPart.of(own, 100));
-        ask(ENTRY, CUSTOMER, prompt, OBJECTIVE_MS, List.of());
-        return placed.get(asks);
+        send(ENTRY, CUSTOMER, prompt, OBJECTIVE_MS, List.of());
+        return placed.get(lastId);
     }
 
-    private void ask(
+    private void send(
             InstanceId entry, CustomerId customer, List<PromptPart> prompt, long objectiveMs, List<TargetId> excluded) {
-        asks++;
-        arbiter.place(entry, message(asks, customer, prompt, objectiveMs, excluded), nowMs);
+        lastId++;
+        arbiter.place(entry, message(lastId, customer, prompt, objectiveMs, excluded), nowMs);
         decide();
     }
 
     private static PeerMessage.Place message(
-            long ask, CustomerId customer, List<PromptPart> prompt, long objectiveMs, List<TargetId> excluded) {
-        return new PeerMessage.Place(CELL, ask, customer, 1, prompt, 10, objectiveMs, 8_000, excluded);
+            long id, CustomerId customer, List<PromptPart> prompt, long objectiveMs, List<TargetId> excluded) {
+        return new PeerMessage.Place(CELL, id, customer, 1, prompt, 10, objectiveMs, 8_000, excluded);
     }
 
-    private void end(long ask, PlacementEnd end) {
-        arbiter.ended(ENTRY, new PeerMessage.PlacementEnded(CELL, ask, 10, end), nowMs);
+    private void end(long id, PlacementEnd end) {
+        arbiter.ended(ENTRY, new PeerMessage.PlacementEnded(CELL, id, 10, end), nowMs);
         decide();
     }
 
@@ -333,7 +338,7 @@
         placedIn(actions).forEach(message -> placed.put(message.ask(), message.target()));
         for (Action action : actions) {
             if (action instanceof Action.SendPeer send && send.message() instanceof PeerMessage.NotPlaced message) {
-                refused.put(message.ask(), message.retryAfterMs());
+                rejected.put(message.ask(), message.retryAfterMs());
             }
         }
     }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/PlacementLoadTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/PlacementLoadTest.java
@@ -11,9 +11,12 @@
 import org.marjoramswitch.kernel.settings.EngineMemory;
 
 /**
- * Who is served when more is asked than the engines can do. The pool is the larger site's: eight engines of 48 slots
- * that read 157 tokens a millisecond, three kinds of requests by 16 customers, the largest of whom sends a third of all.
- * It can do about 290 requests a second; the bounds are what two seeds gave, less a tenth of what is missing to one.
+ * Checks which requests are served under overload. The pool is that of the larger site: eight engines of 48 slots that
+ * prefill 157 tokens per millisecond, and three kinds of requests from 16 customers, the largest of whom sends a third
+ * of all requests.
+ *
+ * <p>The capacity is about 290 requests per second. The bounds are the results of two seeds, less a tenth of their
+ * distance to one.
  */
 class PlacementLoadTest {
     private static final SimulatedEngine.Speed ENGINE =
@@ -22,39 +25,45 @@
     private static final SimulatedEngine.Speed LARGE_ENGINE =
             new SimulatedEngine.Speed(16, 3.55, 0.0462, 157, EngineMemory.fetching(636_749, 0.0004));
     private static final int LARGE_ENGINES = 37;
-    /** A tenth of them ask for eleven times as much as the others. */
+    /** A tenth of the customers send eleven times as much as the others. */
     private static final int LARGE_CUSTOMERS = 60;
 
     private static final int CUSTOMERS = 16;
     private static final double LARGEST_SHARE = 0.35;
-    private static final double UNTIL_MS = 20_000;
-    /** For what was asked last to end. */
-    private static final double END_MS = 25_000;
+    private static final double LOAD_UNTIL_MS = 20_000;
+    /** Leaves time for the last requests to end. */
+    private static final double RUN_UNTIL_MS = 25_000;
 
     @Test
-    void everythingIsServedInTimeWhileThereIsRoom() {
-        PlacementSimulation simulation = loaded(220, 1);
-        assertTrue(simulation.worth() > 0.995, simulation::toString);
-        assertTrue(simulation.rereadTokens() < 100_000, simulation::toString);
+    void allRequestsAreServedInTimeBelowCapacity() {
+        PlacementSimulation simulation = run(220, 1);
+        assertTrue(simulation.valueShare() > 0.995, simulation::toString);
+        assertTrue(simulation.repeatedPrefillTokens() < 100_000, simulation::toString);
     }
 
-    /** Steady overload by a seventh: sessions stay where they were read, and no kind pays for the others. */
+    /**
+     * Steady overload by a seventh: sessions stay where they are cached, and no kind of request is served at the
+     * expense of the others.
+     */
     @Test
-    void anOverloadCostsNoMoreThanItsExcess() {
-        PlacementSimulation simulation = loaded(330, 1);
-        assertTrue(simulation.worth() > 0.80, simulation::toString);
-        assertTrue(simulation.rereadTokens() < 700_000, simulation::toString);
+    void aModerateOverloadCostsNoMoreThanItsExcess() {
+        PlacementSimulation simulation = run(330, 1);
+        assertTrue(simulation.valueShare() > 0.80, simulation::toString);
+        assertTrue(simulation.repeatedPrefillTokens() < 700_000, simulation::toString);
         for (Kind kind : Kind.values()) {
             assertTrue(simulation.of(kind).inTimeShare() > 0.70, simulation::toString);
         }
     }
 
-    /** Twice what the pool can do: what is served in time stays what the pool can do, and light customers lose nothing. */
+    /**
+     * At twice the capacity, the pool still serves its capacity in time, and customers with low demand are not
+     * affected.
+     */
     @Test
-    void twiceTheLoadIsTakenFromTheLargestCustomers() {
-        PlacementSimulation simulation = loaded(600, 2);
-        assertTrue(simulation.worth() > 0.42, simulation::toString);
-        assertTrue(simulation.rereadTokens() < 1_000_000, simulation::toString);
+    void twofoldOverloadIsBorneByTheLargestCustomers() {
+        PlacementSimulation simulation = run(600, 2);
+        assertTrue(simulation.valueShare() > 0.42, simulation::toString);
+        assertTrue(simulation.repeatedPrefillTokens() < 1_000_000, simulation::toString);
         for (int i = 6; i < CUSTOMERS; i++) {
             assertTrue(simulation.of(customer(i)).inTimeShare() > 0.75, simulation::toString);
         }
@@ -62,132 +71,136 @@
     }
 
     /**
-     * A customer that asks for 4 in 100 of what all ask for, less than an even share, has its requests in time though the
-     * pool is asked for 1.8 times what it can do. Its requests come in clumps by chance, and each had to wait until all
-     * others were given as much as the one before it: 0.90 were in time.
+     * A customer with 4% of the load, less than an even share, is served in time although the load is 1.8 times the
+     * capacity. Its requests arrive in random bursts. Without a credit, each request would wait until all other
+     * customers had received as much as its predecessor, and only 0.90 would be in time.
      */
     @Test
-    void aCustomerBelowItsShareIsNotHeldUpByItsOwnClumps() {
-        PlacementSimulation simulation = asked(400, PlacementSimulation.Sizes.UNEVEN, 5);
-        simulation.run(END_MS);
+    void aCustomerBelowItsShareIsNotDelayedByItsOwnBursts() {
+        PlacementSimulation simulation = withLoad(400, PlacementSimulation.Sizes.UNEVEN, 5);
+        simulation.run(RUN_UNTIL_MS);
         assertTrue(simulation.of(customer(4)).inTimeShare() > 0.96, simulation::toString);
     }
 
-    /** One customer sends ten times its usual: it alone is refused. */
+    /** One customer sends ten times its usual load; only its requests are rejected. */
     @Test
-    void aFloodIsRefusedToItsCustomerAlone() {
+    void aFloodIsRejectedOnlyForItsCustomer() {
         CustomerId flooding = CustomerId.of("flooding");
-        PlacementSimulation simulation = asked(200, 3);
+        PlacementSimulation simulation = withLoad(200, 3);
         simulation.load(flooding, 250, 5_000, 15_000);
-        simulation.run(END_MS);
+        simulation.run(RUN_UNTIL_MS);
         for (int i = 0; i < CUSTOMERS; i++) {
             assertTrue(simulation.of(customer(i)).inTimeShare() > 0.9, simulation::toString);
         }
-        assertTrue(simulation.of(flooding).refused > 0);
+        assertTrue(simulation.of(flooding).rejected > 0);
     }
 
     /**
-     * The callers with the largest prompts are served as others are, though late. More is asked for than the pool can
-     * do, with sizes as uneven as callers' are: the largest reports need most of their objective for the reading alone.
-     * They had no time to wait in and were refused on arrival, at every try, as long as no engine was idle: 0.33, 0.27
-     * and 0.16 of them were served at these loads, of all reports 0.81, 0.68 and 0.52.
+     * Guards against starvation of the largest prompts. Under overload with the uneven prompt sizes of real callers,
+     * the largest reports need most of their objective for prefill alone. Without a size balance they have no slack to
+     * wait and are rejected on arrival, at every attempt, as long as no engine is idle: 0.33, 0.27 and 0.16 of them are
+     * served at these loads, compared to 0.81, 0.68 and 0.52 of all reports.
      */
     @ParameterizedTest
     @CsvSource({"300, 0.68", "400, 0.50", "600, 0.33"})
-    void theLargestAreServedUnderOverloadToo(double perSecond, double leastWorth) {
-        PlacementSimulation simulation = asked(perSecond, PlacementSimulation.Sizes.UNEVEN, 5);
-        simulation.run(END_MS);
+    void theLargestRequestsAreServedUnderOverload(double perSecond, double minValueShare) {
+        PlacementSimulation simulation = withLoad(perSecond, PlacementSimulation.Sizes.UNEVEN, 5);
+        simulation.run(RUN_UNTIL_MS);
         double all = simulation.of(Kind.REPORT).servedShare();
         double largest = simulation.ofLargest(Kind.REPORT).servedShare();
         assertTrue(largest > 0.5 * all, simulation::toString);
-        assertTrue(simulation.worthBySize() > leastWorth, simulation::toString);
+        assertTrue(simulation.valueShareBySize() > minValueShare, simulation::toString);
     }
 
     /**
-     * A session's prompt stays where it was read while its requests are in time there: what is read again is taken from
-     * all others. The load is what the pool can do, with sizes as uneven as callers' are, so that long prompts keep an
-     * engine for a fifth of a second and more at a time. 671 thousand tokens were read again before the wait for the engine that keeps a
-     * prompt was preferred.
+     * Guards against repeated prefill, which takes time from all other requests. A session stays with the engine that
+     * has it cached as long as its requests are in time there. The load equals the capacity, with the uneven prompt
+     * sizes of real callers, so that long prompts keep an engine busy for a fifth of a second and more. Without the
+     * preference for waiting, 671 thousand tokens are prefilled again.
      */
     @Test
-    void sessionsWaitForTheEngineThatKeepsThem() {
-        PlacementSimulation simulation = asked(220, PlacementSimulation.Sizes.UNEVEN, 6);
-        simulation.run(END_MS);
-        assertTrue(simulation.rereadTokens() < 360_000, simulation::toString);
-        assertTrue(simulation.worthBySize() > 0.92, simulation::toString);
+    void sessionsWaitForTheEngineThatCachesThem() {
+        PlacementSimulation simulation = withLoad(220, PlacementSimulation.Sizes.UNEVEN, 6);
+        simulation.run(RUN_UNTIL_MS);
+        assertTrue(simulation.repeatedPrefillTokens() < 360_000, simulation::toString);
+        assertTrue(simulation.valueShareBySize() > 0.92, simulation::toString);
     }
 
     /**
-     * Hardly a prompt part is read twice in the fleet where engines fetch kept parts from one another. The loads are what the
-     * pool can do and 1.8 times that; waiting for the engine that keeps a prompt left 293 and 509 thousand tokens to be read
-     * again, and fetching 119 and 195 thousand, at 0.006 and 0.013 more worth. A token takes 0.4 microseconds to fetch and
-     * 6.4 to read.
+     * If engines fetch cached parts from one another, hardly any prompt part is prefilled twice. The loads are the
+     * capacity and 1.8 times the capacity. Waiting for the engine with the cached prompt alone leaves 293 and 509
+     * thousand tokens to prefill again; fetching leaves 119 and 195 thousand and raises the value share by 0.006 and
+     * 0.013. A token takes 0.4 microseconds to fetch and 6.4 to prefill.
      */
     @ParameterizedTest
     @CsvSource({"220, 6", "400, 5"})
-    void aPromptPartIsReadOnceWhereEnginesFetch(double perSecond, long seed) {
-        PlacementSimulation reading = asked(perSecond, PlacementSimulation.Sizes.UNEVEN, seed);
-        reading.run(END_MS);
-        PlacementSimulation fetching =
-                asked(ENGINE.fetching(0.0004), perSecond, PlacementSimulation.Sizes.UNEVEN, seed);
-        fetching.run(END_MS);
-
-        assertEquals(0, reading.fetchedTokens(), reading::toString);
-        assertTrue(fetching.rereadTokens() < 0.5 * reading.rereadTokens(), fetching::toString);
-        assertTrue(fetching.worthBySize() > reading.worthBySize(), fetching::toString);
+    void fetchingReducesRepeatedPrefill(double perSecond, long seed) {
+        PlacementSimulation withoutFetching = withLoad(perSecond, PlacementSimulation.Sizes.UNEVEN, seed);
+        withoutFetching.run(RUN_UNTIL_MS);
+        PlacementSimulation withFetching =
+                withLoad(ENGINE.fetching(0.0004), perSecond, PlacementSimulation.Sizes.UNEVEN, seed);
+        withFetching.run(RUN_UNTIL_MS);
+
+        assertEquals(0, withoutFetching.fetchedTokens(), withoutFetching::toString);
+        assertTrue(
+                withFetching.repeatedPrefillTokens() < 0.5 * withoutFetching.repeatedPrefillTokens(),
+                withFetching::toString);
+        assertTrue(withFetching.valueShareBySize() > withoutFetching.valueShareBySize(), withFetching::toString);
     }
 
     /**
-     * What waits does not multiply the arbiter's work. The pool is a large fleet's, 37 engines of 16 slots, asked by 60
-     * customers for what its slots carry and for twice that. With all that waits gone through after each event and each start,
-     * the arbiter looked for a target 168 and 323 times for each request, at a worth of 0.852 and 0.465; now it is 2.6 and
-     * 2.5 times, at 0.852 and 0.461.
+     * Guards against work that grows with the number of waiting requests. The pool is that of a large fleet: 37 engines
+     * of 16 slots, 60 customers, at the capacity of the slots and at twice that. Scanning all waiting requests after
+     * each event and each start takes 168 and 323 target choices per request, at a value share of 0.852 and 0.465;
+     * bounded scans take 2.6 and 2.5, at 0.852 and 0.461.
      */
     @ParameterizedTest
     @CsvSource({"700, 0.83", "1400, 0.44"})
-    void whatWaitsIsGoneThroughABoundedNumberOfTimes(double perSecond, double leastWorth) {
+    void theNumberOfChoicesPerRequestIsBounded(double perSecond, double minValueShare) {
         PlacementSimulation simulation =
                 new PlacementSimulation(LARGE_ENGINES, LARGE_ENGINE, PlacementSimulation.Sizes.UNEVEN, 5);
         for (int i = 0; i < LARGE_CUSTOMERS; i++) {
             double share = i < LARGE_CUSTOMERS / 10 ? 5.5 : 0.5;
-            simulation.load(customer(i), share * perSecond / LARGE_CUSTOMERS, 0, UNTIL_MS / 2);
+            simulation.load(customer(i), share * perSecond / LARGE_CUSTOMERS, 0, LOAD_UNTIL_MS / 2);
         }
-        simulation.run(END_MS / 2);
-        assertTrue(simulation.choices() < 5L * simulation.asked(), simulation.choices() + " choices, " + simulation);
-        assertTrue(simulation.worthBySize() > leastWorth, simulation::toString);
+        simulation.run(RUN_UNTIL_MS / 2);
+        assertTrue(
+                simulation.choices() < 5L * simulation.requestCount(),
+                simulation.choices() + " choices, " + simulation);
+        assertTrue(simulation.valueShareBySize() > minValueShare, simulation::toString);
     }
 
-    /** No engine idles beside a request that waits, and none is refused while there is room. */
+    /** No engine is idle while a request waits, and no request is rejected while there is capacity. */
     @Test
-    void nothingIsRefusedWhileThereIsRoom() {
-        PlacementSimulation simulation = loaded(220, 4);
+    void nothingIsRejectedBelowCapacity() {
+        PlacementSimulation simulation = run(220, 4);
         for (Kind kind : Kind.values()) {
-            assertEquals(0, simulation.of(kind).refused, simulation::toString);
+            assertEquals(0, simulation.of(kind).rejected, simulation::toString);
         }
     }
 
-    private static PlacementSimulation loaded(double perSecond, long seed) {
-        PlacementSimulation simulation = asked(perSecond, seed);
-        simulation.run(END_MS);
+    private static PlacementSimulation run(double perSecond, long seed) {
+        PlacementSimulation simulation = withLoad(perSecond, seed);
+        simulation.run(RUN_UNTIL_MS);
         return simulation;
     }
 
-    private static PlacementSimulation asked(double perSecond, long seed) {
-        return asked(perSecond, PlacementSimulation.Sizes.MODERATE, seed);
+    private static PlacementSimulation withLoad(double perSecond, long seed) {
+        return withLoad(perSecond, PlacementSimulation.Sizes.MODERATE, seed);
     }
 
-    private static PlacementSimulation asked(double perSecond, PlacementSimulation.Sizes sizes, long seed) {
-        return asked(ENGINE, perSecond, sizes, seed);
+    private static PlacementSimulation withLoad(double perSecond, PlacementSimulation.Sizes sizes, long seed) {
+        return withLoad(ENGINE, perSecond, sizes, seed);
     }
 
-    private static PlacementSimulation asked(
+    private static PlacementSimulation withLoad(
             SimulatedEngine.Speed speed, double perSecond, PlacementSimulation.Sizes sizes, long seed) {
         PlacementSimulation simulation = new PlacementSimulation(ENGINES, speed, sizes, seed);
-        double left = perSecond;
+        double remaining = perSecond;
         for (int i = 0; i < CUSTOMERS; i++) {
-            double rate = i < CUSTOMERS - 1 ? left * LARGEST_SHARE : left;
-            left -= rate;
-            simulation.load(customer(i), rate, 0, UNTIL_MS);
+            double rate = i < CUSTOMERS - 1 ? remaining * LARGEST_SHARE : remaining;
+            remaining -= rate;
+            simulation.load(customer(i), rate, 0, LOAD_UNTIL_MS);
         }
         return simulation;
     }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/PlacementSimulation.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/PlacementSimulation.java
@@ -25,44 +25,44 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * One arbiter before a pool of simulated engines, under a load of three kinds of requests by customers of very uneven
- * sizes, in virtual time. A refused request comes back once, when it was told to.
+ * Simulates one arbiter and a pool of engines in virtual time, under a load of three kinds of requests from customers
+ * with very uneven demand. A rejected request is retried once, after its retry delay.
  */
 final class PlacementSimulation {
     private static final PoolId POOL = PoolId.of("engines");
     private static final CellId CELL = CellId.of(POOL, 0);
     private static final InstanceId ENTRY = InstanceId.of("entry");
-    /** One way between the entry and the arbiter, and on to an engine. */
-    private static final double WAY_MS = 1.5;
-    /** An engine's report of a first token or an end reaches the arbiter after this. */
-    private static final double REPORT_MS = 3;
-    /** A normal variable is above this many deviations once in ten times. */
-    private static final double TOP_TENTH = 1.2816;
+    /** One-way delay between the entry instance and the arbiter, and from there to an engine. */
+    private static final double ONE_WAY_DELAY_MS = 1.5;
+    /** Delay until an engine's report of a first token or an end reaches the arbiter. */
+    private static final double REPORT_DELAY_MS = 3;
+    /** A tenth of a normal distribution lies above this many standard deviations. */
+    private static final double TOP_TENTH_SIGMAS = 1.2816;
 
     private static final double OUTPUT_SIGMA = 0.8;
     private static final int FIRST_PART_TOKENS = 300;
-    /** Of what a request is worth in time, what it is worth late. */
-    private static final double LATE_WORTH = 0.3;
-    /** A generated token counts as ten read ones in a request's size. */
+    /** Value of a late response relative to one in time. */
+    private static final double LATE_VALUE = 0.3;
+    /** A generated token counts as ten prompt tokens in a request's size. */
     private static final double OUTPUT_TOKEN_SIZE = 10;
 
     private final PlacementArbiter arbiter;
     private final Map<TargetId, SimulatedEngine> engines = new TreeMap<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
-    private final Map<Long, Request> asked = new HashMap<>();
+    private final PriorityQueue<ScheduledTask> schedule = new PriorityQueue<>();
+    private final Map<Long, Request> pending = new HashMap<>();
     private final Map<Kind, Tally> tallies = new EnumMap<>(Kind.class);
     private final Map<CustomerId, Tally> byCustomer = new TreeMap<>();
-    private final Set<Long> everRead = new HashSet<>();
+    private final Set<Long> prefilledAnywhere = new HashSet<>();
     private final Map<Kind, Tally> largest = new EnumMap<>(Kind.class);
     private final Sizes sizes;
     private final Random random;
-    private long asks;
+    private long nextId;
     private long order;
     private double nowMs;
-    private double earned;
-    private double owed;
+    private double servedValue;
+    private double offeredValue;
 
-    /** The kinds of the larger of the two sites: its shares, sizes and objectives. */
+    /** The kinds of requests at the larger of the two sites, with their shares, sizes and objectives. */
     enum Kind {
         REPORT(1_000_000, 0.25, 322, 4_870, 1_230, 6_610, 1.4, 54_600, 380, 400, 4.0),
         CHECKLIST(2_000_000, 0.29, 374, 79, 430, 628, 1.0, 3_310, 290, 250, 2.3),
@@ -75,10 +75,10 @@
         final int ownTokens;
         final int unevenTokens;
         final double unevenSigma;
-        final int unevenMost;
+        final int unevenMax;
         final int outputTokens;
         final double objectiveMs;
-        final double worth;
+        final double value;
 
         Kind(
                 long firstPart,
@@ -88,10 +88,10 @@
                 int ownTokens,
                 int unevenTokens,
                 double unevenSigma,
-                int unevenMost,
+                int unevenMax,
                 int outputTokens,
                 double objectiveMs,
-                double worth) {
+                double value) {
             this.firstPart = firstPart;
             this.share = share;
             this.sessions = sessions;
@@ -99,22 +99,22 @@
             this.ownTokens = ownTokens;
             this.unevenTokens = unevenTokens;
             this.unevenSigma = unevenSigma;
-            this.unevenMost = unevenMost;
+            this.unevenMax = unevenMax;
             this.outputTokens = outputTokens;
             this.objectiveMs = objectiveMs;
-            this.worth = worth;
+            this.value = value;
         }
     }
 
     /**
-     * How long the prompts' own last parts are. The mean alone hides what is hard: in the sizes that the larger site
-     * states, a tenth of the reports brings half of their tokens, and the largest of them need most of their objective
-     * for the reading alone.
+     * Distributions of the length of a prompt's own last part. The mean alone hides the difficult case: in the sizes
+     * that the larger site reports, a tenth of the reports has half of their tokens, and the largest of them need most
+     * of their objective for prefill alone.
      */
     enum Sizes {
-        /** Moderately spread about the kinds' means. */
+        /** Moderate spread around the means of the kinds. */
         MODERATE,
-        /** As the site states them. */
+        /** The spread that the site reports. */
         UNEVEN;
 
         private static final double MODERATE_SIGMA = 0.8;
@@ -128,42 +128,42 @@
         }
 
         int ownTokens(Kind kind, Random random) {
-            int most = this == MODERATE ? Integer.MAX_VALUE : kind.unevenMost;
-            return (int) Math.min(most, spread(mean(kind), sigma(kind), random));
+            int max = this == MODERATE ? Integer.MAX_VALUE : kind.unevenMax;
+            return (int) Math.min(max, spread(mean(kind), sigma(kind), random));
         }
 
         /** Whether the size is among the largest tenth. */
         boolean isLarge(Kind kind, int tokens) {
             double sigma = sigma(kind);
-            return tokens >= mean(kind) * Math.exp(sigma * TOP_TENTH - sigma * sigma / 2);
+            return tokens >= mean(kind) * Math.exp(sigma * TOP_TENTH_SIGMAS - sigma * sigma / 2);
         }
     }
 
-    /** What became of requests. */
+    /** Counts the outcomes of requests. */
     static final class Tally {
-        int asked;
+        int requests;
         int inTime;
         int late;
-        int refused;
+        int rejected;
 
         double inTimeShare() {
-            return asked == 0 ? 1 : (double) inTime / asked;
+            return requests == 0 ? 1 : (double) inTime / requests;
         }
 
-        /** In time or late. */
+        /** The share served in time or late. */
         double servedShare() {
-            return asked == 0 ? 1 : (double) (inTime + late) / asked;
+            return requests == 0 ? 1 : (double) (inTime + late) / requests;
         }
 
         @Override
         public String toString() {
-            return "asked " + asked + " in time " + inTime + " late " + late + " refused " + refused;
+            return "requests " + requests + " in time " + inTime + " late " + late + " rejected " + rejected;
         }
     }
 
-    private record Due(double atMs, long order, Runnable task) implements Comparable<Due> {
+    private record ScheduledTask(double atMs, long order, Runnable task) implements Comparable<ScheduledTask> {
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(ScheduledTask other) {
             int byTime = Double.compare(atMs, other.atMs);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
@@ -175,10 +175,10 @@
             List<PromptPart> prompt,
             boolean large,
             int outputTokens,
-            double firstAskedMs,
-            boolean again) {
-        Request secondTry() {
-            return new Request(kind, customer, prompt, large, outputTokens, firstAskedMs, true);
+            double firstSentAtMs,
+            boolean isRetry) {
+        Request asRetry() {
+            return new Request(kind, customer, prompt, large, outputTokens, firstSentAtMs, true);
         }
     }
 
@@ -189,14 +189,14 @@
         List<TargetSettings> targets = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             TargetId id = TargetId.of("engine-" + i);
-            engines.put(id, new SimulatedEngine(speed, everRead));
+            engines.put(id, new SimulatedEngine(speed, prefilledAnywhere));
             targets.add(new TargetSettings(
                     id, POOL, "10.0.0.1", 80, DataCentreId.of("dc"), speed.slots(), false, speed.memory()));
         }
         arbiter.targets(targets, Set.of());
     }
 
-    /** Arrivals of one customer from {@code fromMs} on. */
+    /** Schedules arrivals of one customer from {@code fromMs} to {@code untilMs}. */
     void load(CustomerId customer, double perSecond, double fromMs, double untilMs) {
         double atMs = fromMs + gapMs(perSecond);
         while (atMs < untilMs) {
@@ -209,9 +209,9 @@
         for (double tickMs = 10; tickMs < untilMs; tickMs += 10) {
             at(tickMs, () -> {});
         }
-        while (!due.isEmpty() && due.peek().atMs() <= untilMs) {
-            Due next = due.poll();
-            // Engines work in steps of milliseconds; what they report in between is due before the next event.
+        while (!schedule.isEmpty() && schedule.peek().atMs() <= untilMs) {
+            ScheduledTask next = schedule.poll();
+            // Engines work in steps of milliseconds; their reports from in between are due before the next event.
             nowMs = next.atMs();
             engines.values().forEach(engine -> engine.advance(nowMs));
             next.task().run();
@@ -232,28 +232,33 @@
         return byCustomer.computeIfAbsent(customer, missing -> new Tally());
     }
 
-    /** As {@link #worth}, with each request worth more the larger it is, at most four times its kind's mean. */
-    double worthBySize() {
-        return earned / owed;
+    /**
+     * Same as {@link #valueShare}, with the value of a request growing with its size up to four times its kind's mean.
+     */
+    double valueShareBySize() {
+        return servedValue / offeredValue;
     }
 
-    /** Earned by requests in time, and a third of it by late ones, as a share of all. */
-    double worth() {
-        double earned = 0;
+    /**
+     * The value of requests served in time, plus the reduced value of late ones, as a share of the value of all
+     * requests.
+     */
+    double valueShare() {
+        double servedValue = 0;
         double all = 0;
         for (Kind kind : Kind.values()) {
-            earned += kind.worth * (of(kind).inTime + LATE_WORTH * of(kind).late);
-            all += kind.worth * of(kind).asked;
+            servedValue += kind.value * (of(kind).inTime + LATE_VALUE * of(kind).late);
+            all += kind.value * of(kind).requests;
         }
-        return earned / all;
+        return servedValue / all;
     }
 
-    private double worthBySize(Request request) {
+    private double valueBySize(Request request) {
         Kind kind = request.kind();
         double mean = FIRST_PART_TOKENS + kind.sessionTokens + sizes.mean(kind) + OUTPUT_TOKEN_SIZE * kind.outputTokens;
         double size = request.prompt().stream().mapToLong(PromptPart::tokens).sum()
                 + OUTPUT_TOKEN_SIZE * request.outputTokens();
-        return kind.worth * Math.min(4, 0.3 + 0.7 * size / mean);
+        return kind.value * Math.min(4, 0.3 + 0.7 * size / mean);
     }
 
     private double gapMs(double perSecond) {
@@ -261,7 +266,7 @@
     }
 
     private void at(double atMs, Runnable task) {
-        due.add(new Due(atMs, order++, task));
+        schedule.add(new ScheduledTask(atMs, order++, task));
     }
 
     private void arrive(CustomerId customer) {
@@ -275,12 +280,12 @@
         int outputTokens = (int) spread(kind.outputTokens, OUTPUT_SIGMA, random);
         boolean large = sizes.isLarge(kind, ownTokens);
         Request request = new Request(kind, customer, prompt, large, outputTokens, nowMs, false);
-        count(request, tally -> tally.asked++);
-        owed += worthBySize(request);
-        ask(request);
+        count(request, tally -> tally.requests++);
+        offeredValue += valueBySize(request);
+        send(request);
     }
 
-    /** Log-normal about the mean: many small, some large. */
+    /** Log-normal distribution around the mean: many small values, some large ones. */
     private static double spread(double mean, double sigma, Random random) {
         return Math.max(1, mean * Math.exp(sigma * random.nextGaussian() - sigma * sigma / 2));
     }
@@ -296,21 +301,21 @@
         return Kind.QUESTION;
     }
 
-    private void ask(Request request) {
-        long ask = asks++;
-        asked.put(ask, request);
+    private void send(Request request) {
+        long id = nextId++;
+        pending.put(id, request);
         at(
-                nowMs + WAY_MS,
+                nowMs + ONE_WAY_DELAY_MS,
                 () -> arbiter.place(
                         ENTRY,
                         new PeerMessage.Place(
                                 CELL,
-                                ask,
+                                id,
                                 request.customer(),
                                 1,
                                 request.prompt(),
                                 request.kind().outputTokens,
-                                Math.round(request.kind().objectiveMs - (nowMs - request.firstAskedMs())),
+                                Math.round(request.kind().objectiveMs - (nowMs - request.firstSentAtMs())),
                                 request.kind() == Kind.QUESTION ? 2_500 : 13_000,
                                 List.of()),
                         Math.round(nowMs)));
@@ -321,27 +326,27 @@
         arbiter.decide(Math.round(nowMs), actions::add);
         for (Action action : actions) {
             if (action instanceof Action.SendPeer send && send.message() instanceof PeerMessage.Placed placed) {
-                at(nowMs + 2 * WAY_MS, () -> start(placed));
+                at(nowMs + 2 * ONE_WAY_DELAY_MS, () -> start(placed));
             } else if (action instanceof Action.SendPeer send
-                    && send.message() instanceof PeerMessage.NotPlaced refused) {
-                refuse(refused);
+                    && send.message() instanceof PeerMessage.NotPlaced rejected) {
+                refuse(rejected);
             }
         }
     }
 
-    private void refuse(PeerMessage.NotPlaced refused) {
-        Request request = asked.remove(refused.ask());
-        if (request.again()) {
-            count(request, tally -> tally.refused++);
+    private void refuse(PeerMessage.NotPlaced rejected) {
+        Request request = pending.remove(rejected.ask());
+        if (request.isRetry()) {
+            count(request, tally -> tally.rejected++);
             return;
         }
-        at(nowMs + refused.retryAfterMs(), () -> ask(request.secondTry()));
+        at(nowMs + rejected.retryAfterMs(), () -> send(request.asRetry()));
     }
 
     private void start(PeerMessage.Placed placed) {
-        Request request = asked.remove(placed.ask());
+        Request request = pending.remove(placed.ask());
         SimulatedEngine engine = engines.get(placed.target());
-        engine.take(
+        engine.submit(
                 new SimulatedEngine.Generation(
                         request.prompt(),
                         request.outputTokens(),
@@ -349,10 +354,10 @@
                         new SimulatedEngine.Listener() {
                             @Override
                             public void onFirst(double atMs) {
-                                boolean inTime =
-                                        atMs + 2 * WAY_MS - request.firstAskedMs() <= request.kind().objectiveMs;
+                                boolean inTime = atMs + 2 * ONE_WAY_DELAY_MS - request.firstSentAtMs()
+                                        <= request.kind().objectiveMs;
                                 count(request, inTime ? tally -> tally.inTime++ : tally -> tally.late++);
-                                earned += (inTime ? 1 : LATE_WORTH) * worthBySize(request);
+                                servedValue += (inTime ? 1 : LATE_VALUE) * valueBySize(request);
                                 report(atMs, () -> arbiter.answering(ENTRY, placed.ask(), Math.round(nowMs)));
                             }
 
@@ -373,8 +378,8 @@
                 nowMs);
     }
 
-    private void report(double atMs, Runnable told) {
-        at(Math.max(nowMs, atMs + REPORT_MS), told);
+    private void report(double atMs, Runnable task) {
+        at(Math.max(nowMs, atMs + REPORT_DELAY_MS), task);
     }
 
     private void count(Request request, Consumer<Tally> counted) {
@@ -387,37 +392,40 @@
 
     @Override
     public String toString() {
-        return "worth " + worth() + ", by size " + worthBySize() + ", read again " + rereadTokens() + " of "
-                + readTokens() + ", fetched " + fetchedTokens() + ", " + tallies + ", largest " + largest + ", "
+        return "value " + valueShare() + ", by size " + valueShareBySize() + ", prefilled again "
+                + repeatedPrefillTokens() + " of "
+                + prefilledTokens() + ", fetched " + fetchedTokens() + ", " + tallies + ", largest " + largest + ", "
                 + byCustomer;
     }
 
-    /** Requests in all, second tries not counted. */
-    long asked() {
-        return tallies.values().stream().mapToLong(tally -> tally.asked).sum();
+    /** Number of requests without retries. */
+    long requestCount() {
+        return tallies.values().stream().mapToLong(tally -> tally.requests).sum();
     }
 
-    /** How often the arbiter looked for a target. */
+    /** Number of times that the arbiter searched for a target. */
     long choices() {
         return arbiter.choices();
     }
 
-    /** Tokens that the engines have read in all. */
-    long readTokens() {
-        return engines.values().stream().mapToLong(engine -> engine.readTokens).sum();
+    /** Number of tokens that the engines have prefilled. */
+    long prefilledTokens() {
+        return engines.values().stream()
+                .mapToLong(engine -> engine.prefilledTokens)
+                .sum();
     }
 
-    /** Tokens that engines have fetched from one another. */
+    /** Number of tokens that engines have fetched from one another. */
     long fetchedTokens() {
         return engines.values().stream()
                 .mapToLong(engine -> engine.fetchedTokens)
                 .sum();
     }
 
-    /** Of these, tokens of shared parts that an engine had read before. */
-    long rereadTokens() {
+    /** Number of prefilled tokens of shared parts that some engine had prefilled before. */
+    long repeatedPrefillTokens() {
         return engines.values().stream()
-                .mapToLong(engine -> engine.rereadTokens)
+                .mapToLong(engine -> engine.repeatedPrefillTokens)
                 .sum();
     }
 }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/PromptCacheTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/PromptCacheTest.java
@@ -16,21 +16,23 @@
     private final PromptCache cache = PromptCache.create(part -> {}, part -> {});
 
     @Test
-    void aPromptThatWasSentNeedsNoSecondReading() {
+    void aDispatchedPromptIsCached() {
         cache.dispatched(PROMPT, MEMORY_TOKENS);
         assertEquals(0, cache.uncachedTokens(PROMPT));
         assertEquals(400, cache.uncachedTokens(List.of(SHARED, OTHER)));
     }
 
     @Test
-    void aPartCountsOnlyBehindPartsThatAreKept() {
+    void aPartCountsOnlyIfAllPartsBeforeItAreCached() {
         cache.dispatched(List.of(SESSION), MEMORY_TOKENS);
         assertEquals(500, cache.uncachedTokens(PROMPT));
     }
 
-    /** Another engine that came for a part before it was read would find nothing and read all of it. */
+    /**
+     * A fetch of a part before its prefill would find nothing, and the fetching engine would have to prefill all of it.
+     */
     @Test
-    void othersFindOnlyWhatWasRead() {
+    void onlyPrefilledPartsCanBeFetched() {
         cache.dispatched(PROMPT, MEMORY_TOKENS);
         assertEquals(0, cache.prefilledTokens(PROMPT));
         cache.prefilled(List.of(SHARED), MEMORY_TOKENS);
@@ -40,7 +42,7 @@
     }
 
     @Test
-    void whatARefusedRequestBroughtIsNotThere() {
+    void partsOfARefusedRequestAreNotCached() {
         cache.prefilled(List.of(SHARED), MEMORY_TOKENS);
         cache.dispatched(PROMPT, MEMORY_TOKENS);
         cache.notPrefilled(PROMPT);
@@ -48,11 +50,12 @@
     }
 
     /**
-     * A part that is looked up for every choice and never used is the first to go. When look-ups counted as uses the book
-     * kept other parts than the engine did: 300 thousand tokens were read again in place of 120 thousand.
+     * Guards against lookups for choices that count as uses. The least recently used part is evicted even if it is
+     * looked up for every choice; otherwise the estimate diverges from the engine's cache, and 300 instead of 120
+     * thousand tokens are prefilled again.
      */
     @Test
-    void lookingUpIsNoUse() {
+    void aLookupDoesNotCountAsAUse() {
         cache.prefilled(List.of(SHARED), MEMORY_TOKENS);
         cache.prefilled(List.of(OTHER), MEMORY_TOKENS);
         cache.prefilledTokens(List.of(SHARED));
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/SimulatedEngine.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/SimulatedEngine.java
@@ -14,39 +14,42 @@
 import org.marjoramswitch.kernel.settings.EngineMemory;
 
 /**
- * A model engine in virtual time: continuous batching with chunked prompt reading. In each step it reads the next chunk
- * of the oldest unread prompt and makes one token for each running request; a request runs from its first token on. It
- * keeps the parts that it has read, the least recently used dropped first, in what running requests leave of its memory.
+ * Simulates a model engine in virtual time: continuous batching with chunked prefill. Each step prefills the next chunk
+ * of the oldest pending prompt and generates one token for each running request; a request runs from its first token
+ * on.
+ *
+ * <p>Prefilled parts stay cached in the memory that running requests leave, evicted in least-recently-used order.
  */
 final class SimulatedEngine {
     private static final int CHUNK_TOKENS = 2_048;
 
     private final Speed speed;
     private final Deque<Generation> queued = new ArrayDeque<>();
-    private final Deque<Generation> reading = new ArrayDeque<>();
+    private final Deque<Generation> prefilling = new ArrayDeque<>();
     private final List<Generation> running = new ArrayList<>();
-    private final Map<Long, Integer> kept = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<Long, Integer> cached = new LinkedHashMap<>(16, 0.75f, true);
     private long cachedTokens;
     private double stepEndsMs;
     private boolean stepping;
     private long chunkTokens;
-    private final Set<Long> readAnywhere;
-    long readTokens;
-    long rereadTokens;
+    private final Set<Long> prefilledAnywhere;
+    long prefilledTokens;
+    long repeatedPrefillTokens;
     long fetchedTokens;
 
     /**
-     * How fast an engine is.
+     * The performance parameters of an engine.
      *
-     * @param slots requests that it works on at once
-     * @param stepMs one step without anything in it
-     * @param slotMs added for each running request
-     * @param readPerMs prompt tokens read in a millisecond
-     * @param memory for running requests and kept parts
+     * @param slots maximum number of concurrent requests
+     * @param stepMs duration of an empty step
+     * @param slotMs additional step time per running request
+     * @param prefillTokensPerMs prompt tokens prefilled per millisecond
+     * @param memory memory for running requests and cached parts
      */
-    record Speed(int slots, double stepMs, double slotMs, double readPerMs, EngineMemory memory) {
+    record Speed(int slots, double stepMs, double slotMs, double prefillTokensPerMs, EngineMemory memory) {
         Speed fetching(double fetchMsPerToken) {
-            return new Speed(slots, stepMs, slotMs, readPerMs, EngineMemory.fetching(memory.tokens(), fetchMsPerToken));
+            return new Speed(
+                    slots, stepMs, slotMs, prefillTokensPerMs, EngineMemory.fetching(memory.tokens(), fetchMsPerToken));
         }
     }
 
@@ -56,9 +59,9 @@
         final int outputTokens;
         final @Nullable SimulatedEngine fetchFrom;
         final Listener listener;
-        private final Set<Long> unreadParts = new HashSet<>();
-        private long unreadTokens;
-        private int made;
+        private final Set<Long> pendingParts = new HashSet<>();
+        private long pendingTokens;
+        private int generatedTokens;
 
         Generation(List<PromptPart> prompt, int outputTokens, @Nullable SimulatedEngine fetchFrom, Listener listener) {
             this.prompt = prompt;
@@ -68,27 +71,27 @@
         }
     }
 
-    /** Hears of a request's first token and end. */
+    /** Receives a request's first token and end. */
     interface Listener {
         void onFirst(double nowMs);
 
         void onEnd(double nowMs);
     }
 
-    /** @param readAnywhere the shared parts that some engine has read */
-    SimulatedEngine(Speed speed, Set<Long> readAnywhere) {
+    /** @param prefilledAnywhere ids of the shared parts that any engine has prefilled */
+    SimulatedEngine(Speed speed, Set<Long> prefilledAnywhere) {
         this.speed = speed;
-        this.readAnywhere = readAnywhere;
+        this.prefilledAnywhere = prefilledAnywhere;
     }
 
-    void take(Generation generation, double nowMs) {
+    void submit(Generation generation, double nowMs) {
         queued.add(generation);
         if (!stepping) {
             beginStep(nowMs);
         }
     }
 
-    /** Makes the steps that end by then. */
+    /** Runs the steps that end until {@code nowMs}. */
     void advance(double nowMs) {
         while (stepping && stepEndsMs <= nowMs) {
             endStep(stepEndsMs);
@@ -97,71 +100,72 @@
     }
 
     private void beginStep(double nowMs) {
-        while (!queued.isEmpty() && running.size() + reading.size() < speed.slots()) {
+        while (!queued.isEmpty() && running.size() + prefilling.size() < speed.slots()) {
             admit(queued.poll());
         }
-        stepping = !running.isEmpty() || !reading.isEmpty();
+        stepping = !running.isEmpty() || !prefilling.isEmpty();
         if (!stepping) {
             return;
         }
-        chunkTokens = reading.isEmpty() ? 0 : Math.min(CHUNK_TOKENS, reading.peek().unreadTokens);
-        stepEndsMs = nowMs + speed.stepMs() + speed.slotMs() * running.size() + chunkTokens / speed.readPerMs();
+        chunkTokens = prefilling.isEmpty() ? 0 : Math.min(CHUNK_TOKENS, prefilling.peek().pendingTokens);
+        stepEndsMs =
+                nowMs + speed.stepMs() + speed.slotMs() * running.size() + chunkTokens / speed.prefillTokensPerMs();
     }
 
     private void admit(Generation generation) {
-        long unread = 0;
-        boolean all = true;
-        boolean source = generation.fetchFrom != null;
+        long pendingTokens = 0;
+        boolean allCached = true;
+        boolean hasSource = generation.fetchFrom != null;
         for (PromptPart part : generation.prompt) {
-            all = all && kept.containsKey(part.id());
-            source = source && generation.fetchFrom.hasRead(part);
-            boolean fetched = !all && source;
-            fetchedTokens += fetched ? part.tokens() : 0;
-            if (!all && !fetched) {
-                unread += part.tokens();
-                generation.unreadParts.add(part.id());
+            allCached = allCached && cached.containsKey(part.id());
+            hasSource = hasSource && generation.fetchFrom.hasPrefilled(part);
+            boolean isFetched = !allCached && hasSource;
+            fetchedTokens += isFetched ? part.tokens() : 0;
+            if (!allCached && !isFetched) {
+                pendingTokens += part.tokens();
+                generation.pendingParts.add(part.id());
             }
-            boolean own = part.equals(generation.prompt.get(generation.prompt.size() - 1));
-            if (!all && !fetched && !own && !readAnywhere.add(part.id())) {
-                rereadTokens += part.tokens();
+            boolean isOwn = part.equals(generation.prompt.get(generation.prompt.size() - 1));
+            if (!allCached && !isFetched && !isOwn && !prefilledAnywhere.add(part.id())) {
+                repeatedPrefillTokens += part.tokens();
             }
-            Integer before = kept.put(part.id(), part.tokens());
-            cachedTokens += part.tokens() - (before == null ? 0 : before);
+            Integer previousTokens = cached.put(part.id(), part.tokens());
+            cachedTokens += part.tokens() - (previousTokens == null ? 0 : previousTokens);
         }
-        generation.unreadTokens = Math.max(1, unread);
-        readTokens += unread;
-        reading.add(generation);
-        Iterator<Integer> eldest = kept.values().iterator();
+        generation.pendingTokens = Math.max(1, pendingTokens);
+        prefilledTokens += pendingTokens;
+        prefilling.add(generation);
+        Iterator<Integer> eldest = cached.values().iterator();
         while (cachedTokens > speed.memory().tokens()) {
             cachedTokens -= eldest.next();
             eldest.remove();
         }
     }
 
-    /** What is kept and not of a prompt that is still to be read, so that another engine finds it here. */
-    private boolean hasRead(PromptPart part) {
-        return kept.containsKey(part.id())
-                && reading.stream().noneMatch(other -> other.unreadParts.contains(part.id()));
+    /** Whether the part is cached and not part of a pending prefill, so that another engine can fetch it. */
+    private boolean hasPrefilled(PromptPart part) {
+        return cached.containsKey(part.id())
+                && prefilling.stream().noneMatch(other -> other.pendingParts.contains(part.id()));
     }
 
     private void endStep(double nowMs) {
         for (Iterator<Generation> all = running.iterator(); all.hasNext(); ) {
             Generation generation = all.next();
-            generation.made++;
-            if (generation.made >= generation.outputTokens) {
+            generation.generatedTokens++;
+            if (generation.generatedTokens >= generation.outputTokens) {
                 all.remove();
                 generation.listener.onEnd(nowMs);
             }
         }
-        Generation read = reading.peek();
-        if (read == null) {
+        Generation oldest = prefilling.peek();
+        if (oldest == null) {
             return;
         }
-        read.unreadTokens -= chunkTokens;
-        if (read.unreadTokens <= 0) {
-            reading.poll();
-            running.add(read);
-            read.listener.onFirst(nowMs);
+        oldest.pendingTokens -= chunkTokens;
+        if (oldest.pendingTokens <= 0) {
+            prefilling.poll();
+            running.add(oldest);
+            oldest.listener.onFirst(nowMs);
         }
     }
 }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/TargetChoiceTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/TargetChoiceTest.java
@@ -23,8 +23,9 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * The choice by order and holders is the choice that looking at all targets makes: for pools of every fill, prompts of which
- * all, few or no engines keep a part, with and without fetching, with targets left out by failures or by the request.
+ * The choice by order and part index equals an exhaustive search: for pools of every load, prompts of which all, few or
+ * no engines have a part cached, with and without fetching, with targets excluded because of failures or by the
+ * request.
  */
 class TargetChoiceTest {
     private static final PoolId POOL = PoolId.of("pool");
@@ -39,7 +40,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void noTargetIsBetterThanTheOneChosen(long seed) {
+    void theChoiceEqualsAnExhaustiveSearch(long seed) {
         Random random = new Random(seed);
         engines(random, seed % 2 == 0 ? EngineMemory.of(MEMORY_TOKENS) : EngineMemory.fetching(MEMORY_TOKENS, 0.0004));
         TargetChoice choice = TargetChoice.at(PlacementPolicy.full(), model, 50, pool, NOW_MS);
@@ -57,9 +58,11 @@
         assertTrue(placed > 0);
     }
 
-    /** One that failed the request may serve it now; with no other left it is better than nothing. */
+    /**
+     * A target that failed the request may serve it now, which is better than rejecting it if no other target is left.
+     */
     @Test
-    void aRequestThatAllTargetsFailedIsTriedOnceMore() {
+    void aRequestThatFailedAtAllTargetsIsTriedAgain() {
         engines(new Random(1), EngineMemory.of(MEMORY_TOKENS));
         TargetChoice choice = TargetChoice.at(PlacementPolicy.full(), model, 50, pool, NOW_MS);
         Set<TargetId> all = new HashSet<>();
@@ -67,9 +70,9 @@
         assertNotNull(choice.chooseInTime(request(1, List.of(PromptPart.of(1, 500), PromptPart.of(99, 500)), all)));
     }
 
-    /** Where no target has room nothing is looked for, and the first one that gains room ends that. */
+    /** If no target has room, no search takes place, until the first target has room again. */
     @Test
-    void aPoolWithoutRoomIsFullUntilATargetGainsRoom() {
+    void aFullPoolTakesNoRequestUntilATargetHasRoom() {
         pool.targets(List.of(settings(1, 1, EngineMemory.of(MEMORY_TOKENS))), Set.of());
         TargetLoad only = pool.all().iterator().next();
         only.takeOver(0, 100, true, NOW_MS);
@@ -81,7 +84,10 @@
                 TargetChoice.at(PlacementPolicy.full(), model, 50, pool, NOW_MS).chooseInTime(request));
     }
 
-    /** Engines of uneven sizes, so that no two cost the same, some of them full, far behind or failing. */
+    /**
+     * Engines of different sizes, so that no two have the same cost; some are full, have a long prefill queue or are
+     * failing.
+     */
     private void engines(Random random, EngineMemory memory) {
         List<TargetSettings> settings = new ArrayList<>();
         for (int i = 0; i < ENGINES; i++) {
@@ -125,7 +131,9 @@
         return random.nextInt(4) == 0 ? Set.of(TargetId.of("t" + random.nextInt(ENGINES))) : Set.of();
     }
 
-    /** A part that most engines keep, a session that a few keep or none, and a part of the request's own. */
+    /**
+     * A part that most engines have cached, a session that few or none have cached, and a part of the request's own.
+     */
     private static List<PromptPart> prompt(Random random, int number) {
         int session = random.nextInt(SESSIONS);
         int sessionTokens = 200 + 97 * session;
