--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/Datagram.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/Datagram.java
@@ -5,13 +5,13 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * What one instance sends another by UDP: who it is, what it wants, and news of members.
+ * A UDP datagram of the failure detector: the sender's state, a body, and gossiped member updates.
  *
- * @param updates news of any members, most of it passed on
+ * @param updates updates about any members, most of them forwarded
  */
 public record Datagram(Sender sender, Body body, List<MemberUpdate> updates) {
 
-    /** The sender's own state; its address is the one that the datagram came from. */
+    /** The sender's own state; its address is the datagram's source address. */
     public record Sender(
             InstanceId id,
             long incarnation,
@@ -22,29 +22,29 @@
             long generation,
             int processorMillicores) {}
 
-    /** The purpose of a datagram. */
+    /** The type-specific part of a datagram. */
     public sealed interface Body {}
 
-    /** Asks for an {@link Ack} with the same number. */
+    /** Requests an {@link Ack} with the same number. */
     public record Ping(long number) implements Body {}
 
-    /** Answers a ping, or tells the sender of a {@link PingRequest} that its target answered. */
+    /** Acknowledges a ping, or reports to the sender of a {@link PingRequest} that its target acknowledged. */
     public record Ack(long number) implements Body {}
 
-    /** Asks the receiver to ping the target and to pass its answer on. */
+    /** Asks the receiver to ping the target and to forward its acknowledgement (an indirect probe). */
     public record PingRequest(long number, MemberAddress target) implements Body {}
 
-    /** Digests of the sender's view in {@link ViewDigest#BUCKETS} parts; asks for the parts that differ. */
+    /** Digests of the {@link ViewDigest#BUCKETS} buckets of the sender's view; requests the buckets that differ. */
     public record Compare(List<Integer> digests) implements Body {}
 
     /**
-     * The members of some parts of the sender's view, in the updates.
+     * The members of some buckets of the sender's view, carried in the updates.
      *
-     * @param buckets the parts, one bit each
-     * @param wantsReply whether the sender wants the receiver's members of these parts
+     * @param buckets bit mask of the buckets
+     * @param wantsReply whether the sender requests the receiver's members of these buckets
      */
     public record Exchange(int buckets, boolean wantsReply) implements Body {}
 
-    /** A purpose that this version does not know; the sender and the updates are still good. */
+    /** A body type that this version does not know; the sender and the updates are still valid. */
     public record Unknown() implements Body {}
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/FailureDetector.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/FailureDetector.java
@@ -16,60 +16,64 @@
 import org.marjoramswitch.kernel.model.Member;
 
 /**
- * Finds out which instances are alive, in the manner of SWIM (Das, Gupta, Motivala 2002): datagrams, lists read from the
- * platform and ticks go in, datagrams to send and views come out.
+ * Detects which instances are alive with the SWIM protocol (Das, Gupta, Motivala 2002). A deterministic state machine:
+ * its inputs are datagrams, instance lists read from the platform, and ticks; its outputs are datagrams to send and
+ * views.
  *
- * <p><b>Idea.</b> Once per interval an instance probes one other, each in turn in a random order. Without an answer it
- * asks a few others to probe in its stead, so that one broken path between two instances accuses nobody. Without an
- * answer by the end of the interval the probed one is suspect; it is dead when it has not shown itself within the
- * suspicion time. News rides on the probes, each item a bounded number of times. So an instance sends and receives the
- * same number of datagrams whatever the size of the fleet, and news reaches all in a time that grows with the logarithm.
+ * <p><b>Algorithm.</b> Once per probe interval an instance pings one other member; the members follow one another in
+ * random order. If the direct ping is not acknowledged in time, it asks a few other members to ping the target
+ * (indirect probes), so that a single broken path between two instances does not raise a suspicion. A member that is
+ * not acknowledged by the end of the interval becomes suspect, and dead if it does not refute the suspicion within the
+ * suspicion timeout. Updates are piggybacked on these datagrams, each a bounded number of times. The number of
+ * datagrams per instance is therefore independent of the fleet's size, and an update reaches all instances in a time
+ * that grows with the logarithm of that size.
  *
- * <p><b>Order of news.</b> Only the member itself raises its incarnation (by a restart) and its revision (by leaving, or
- * in answer to a suspicion). The newer pair wins, for equal pairs the worse status. So a member that hears that it is
- * suspect clears itself with a higher revision, and old news changes nothing, however late it comes.
+ * <p><b>Order of updates.</b> Only the member itself raises its incarnation (by restarting) and its revision (by
+ * announcing that it leaves, or by refuting a suspicion). The newer pair wins; for equal pairs the worse status wins. A
+ * suspected member refutes the suspicion with a higher revision, and an outdated update has no effect however late it
+ * arrives.
  *
- * <p><b>Nobody's word buries a member.</b> Death is concluded by each instance alone, after its own wait. What is passed
- * on is the suspicion. Were death passed on, the first datagram between two halves of a fleet that meet again would
- * bring each half the news that its own members are dead.
+ * <p><b>Deaths are local.</b> Each instance declares a member dead only after its own suspicion timeout; only
+ * suspicions are gossiped. If deaths were gossiped, the first datagram between the two halves of a healed partition
+ * would report to each half that its own members are dead.
  *
- * <p><b>Partitions heal.</b> Once per contact interval an instance pings one that it does not hold alive: one of the
- * platform's list, a suspect, or a dead one that it remembers. The ping carries the suspicion, the other clears itself and answers,
- * and is back in the view one round trip later. Once per exchange interval two members compare digests of their views
- * and exchange what differs, deaths of the last half minute included as suspicions, which repairs what the bounded
- * retransmission has missed. Older deaths are not told: they are known on this side, and on the other side of a
- * partition that has healed they would put every living member under suspicion at once.
+ * <p><b>Healing of partitions.</b> Once per reconnect interval an instance pings one address that is not held alive: a
+ * listed instance, a suspect, or a remembered dead member. The ping carries the suspicion; the receiver refutes it and
+ * is back in the view after one round trip. Once per exchange interval two members compare digests of their views and
+ * exchange the differences, which repairs what the bounded retransmission has missed. Deaths of the last 30 s are
+ * included, as suspicions. Older deaths are not: they are known on this side, and after a partition they would put
+ * every living member of the other side under suspicion at once.
  *
- * <p><b>The list lags.</b> It says whom to try. It never removes a member that answers, and a member that it does not
- * name yet is taken in when it shows itself.
+ * <p><b>The platform's list lags.</b> It only supplies addresses to contact. It never removes a member that responds,
+ * and a member that it does not name yet joins as soon as a datagram of it arrives.
  *
- * <p><b>Odd cases.</b> <i>Paused and resumed</i>: leith-b-1 stops for 5 s and is dead to all. On resuming, its next tick
- * shows the gap, so it holds its own wait against nobody; a ping that reaches it says that it is suspect at revision 0;
- * it answers as revision 1 and is back. <i>Restarted empty</i>: its incarnation is higher, so whatever is remembered of
- * the old one is overridden and the view shows the new incarnation at once, even where the death was never noticed.
- * <i>Two processes under one name</i>: the older one learns of the higher incarnation and reports itself superseded; it
- * does not argue. <i>Unsteady member</i>: after each death within the last minute its next suspicion waits longer, up to
- * four times, so that the view changes less often.
+ * <p><b>Edge cases.</b> <i>Pause and resume</i>: an instance that stops for 5 s is dead to all others. On resuming, its
+ * next tick detects the gap and extends its own deadlines, so it suspects nobody; a ping informs it that it is suspect
+ * at revision 0; it responds with revision 1 and returns to the views. <i>Restart without state</i>: the higher
+ * incarnation overrides whatever is remembered of the previous one, so the views show it at once even if the death was
+ * never detected. <i>Two processes with the same name</i>: the older one sees the higher incarnation and reports itself
+ * superseded; it does not refute. <i>Flapping member</i>: each death within the last minute lengthens the suspicion
+ * timeout of the next suspicion, up to fourfold, so that the view changes less often.
  *
- * <p><b>Cost.</b> Per interval one ping and on average one answer to another's ping, each below 100 bytes without news;
- * state of a few hundred bytes per member; a tick looks at each member once.
+ * <p><b>Cost.</b> Per interval one ping and on average one acknowledgement, each below 100 bytes without updates; a few
+ * hundred bytes of state per member; a tick visits each member once.
  */
 public final class FailureDetector {
     private static final int MAX_RELAYS = 256;
-    private static final int ANNOUNCE_TO = 8;
+    private static final int ANNOUNCE_FANOUT = 8;
     private static final int MAX_EXCHANGE_BUCKETS = 4;
-    private static final int MAX_CONTACTS_WHEN_ALONE = 3;
+    private static final int MAX_RECONNECTS_WHEN_ALONE = 3;
 
     private final Member self;
     private final FailureDetectorOptions options;
     private final SplittableRandom random;
     private final MemberTable table;
     private final ProbeOrder order;
-    /** Members that something else reported unreachable, to be probed before their turn. */
-    private final Set<InstanceId> urgent = new LinkedHashSet<>();
+    /** Members whose link was lost; probed before the next member in the probe order. */
+    private final Set<InstanceId> priorityProbes = new LinkedHashSet<>();
 
     private final Map<InstanceId, ListedInstance> listed = new TreeMap<>();
-    /** Probes on behalf of others: our number to the asker and its number. */
+    /** Indirect probes on behalf of others, by the number of the ping that this instance sent. */
     private final Map<Long, Relay> relays = new LinkedHashMap<>();
 
     private List<MembershipAction> actions = new ArrayList<>();
@@ -84,7 +88,7 @@
     private boolean started;
     private long lastTickMs;
     private long nextProbeMs;
-    private long nextContactMs;
+    private long nextReconnectMs;
     private long nextExchangeMs;
 
     private FailureDetector(Member self, FailureDetectorOptions options, long seed) {
@@ -97,15 +101,15 @@
     }
 
     /**
-     * A detector that knows only its own instance.
+     * Creates a detector that knows only its own instance.
      *
-     * @param seed of the random choices; the same seed and inputs give the same actions
+     * @param seed seed of the random choices; the same seed and inputs give the same actions
      */
     public static FailureDetector create(Member self, FailureDetectorOptions options, long seed) {
         return new FailureDetector(self, options, seed);
     }
 
-    /** Time has passed; to be called several times per probe timeout. */
+    /** Handles the passage of time; must be called several times per direct timeout. */
     public List<MembershipAction> onTick(long nowMs) {
         if (!started) {
             start(nowMs);
@@ -113,58 +117,58 @@
         allowForPause(nowMs);
         if (!left) {
             runProbe(nowMs);
-            runContact(nowMs);
+            runReconnect(nowMs);
             runExchange(nowMs);
-            table.expire(nowMs);
+            table.expireSuspicions(nowMs);
         }
-        showView();
+        publishView();
         return takeActions();
     }
 
-    /** A datagram came from this address. */
+    /** Handles a datagram that arrived from this address. */
     public List<MembershipAction> onDatagram(MemberAddress from, Datagram datagram, long nowMs) {
         if (left || isOwnName(datagram.sender())) {
             return takeActions();
         }
-        hearSender(from, datagram.sender(), nowMs);
-        datagram.updates().forEach(update -> hear(update, nowMs));
-        answer(from, datagram.sender().id(), datagram.body(), nowMs);
+        applySender(from, datagram.sender(), nowMs);
+        datagram.updates().forEach(update -> applyUpdate(update, nowMs));
+        handleBody(from, datagram.sender().id(), datagram.body(), nowMs);
         return takeActions();
     }
 
-    /** The platform's list was read. */
+    /** Replaces the addresses known from the platform's list. */
     public List<MembershipAction> onListRead(Map<InstanceId, ListedInstance> instances, long nowMs) {
         boolean first = listed.isEmpty();
         listed.clear();
         listed.putAll(instances);
         listed.remove(self.id());
         if (first && started) {
-            nextContactMs = nowMs;
+            nextReconnectMs = nowMs;
         }
         return takeActions();
     }
 
     /**
-     * The link to a member broke or fell silent. That proves nothing, as the link alone may be at fault, but the member
-     * is probed before its turn, so that a lost one is found soonest by those that deal with it.
+     * Schedules a probe of a member whose TCP link broke or went silent. The link alone may be at fault, so this raises
+     * no suspicion; the early probe makes the instances that communicate with a crashed member detect it first.
      */
     public void onLinkLost(InstanceId member) {
-        urgent.add(member);
+        priorityProbes.add(member);
     }
 
-    /** This instance begins its graceful shutdown: others give it no new duties. */
+    /** Announces that this instance begins its graceful shutdown; others assign it no new responsibilities. */
     public List<MembershipAction> onLeave(long nowMs) {
         if (!leaving) {
             leaving = true;
             revision++;
             viewDirty = true;
             announce();
-            showView();
+            publishView();
         }
         return takeActions();
     }
 
-    /** This instance is about to end; the others need not find out by probing. */
+    /** Announces that this instance is about to exit, so that the others need not detect it by probing. */
     public List<MembershipAction> onDepart(long nowMs) {
         if (!left) {
             leaving = true;
@@ -175,12 +179,12 @@
         return takeActions();
     }
 
-    /** This generation of settings is in force here. */
+    /** Sets the generation of settings that is in force on this instance; a lower one is ignored. */
     public void announceGeneration(long newGeneration) {
         generation = Math.max(generation, newGeneration);
     }
 
-    /** The view as it is held now. */
+    /** Returns the current view, with this instance and all members that are alive or suspect. */
     public FleetView view() {
         List<Member> members = new ArrayList<>();
         members.add(new Member(self.id(), self.incarnation(), self.dataCentre(), leaving, self.processorMillicores()));
@@ -188,7 +192,7 @@
         return FleetView.of(members);
     }
 
-    /** The generation that each member of the view was last heard to have in force. */
+    /** Returns the last known generation of settings in force on each member of the view. */
     public Map<InstanceId, Long> generations() {
         Map<InstanceId, Long> generations = new TreeMap<>();
         generations.put(self.id(), generation);
@@ -199,13 +203,16 @@
     private void start(long nowMs) {
         started = true;
         lastTickMs = nowMs;
-        // A random phase, so that instances which start together do not probe in step.
+        // A random phase keeps instances that start together from probing at the same moments.
         nextProbeMs = nowMs + random.nextLong(options.probeIntervalMs());
-        nextContactMs = nowMs;
+        nextReconnectMs = nowMs;
         nextExchangeMs = nowMs + random.nextLong(options.exchangeIntervalMs());
     }
 
-    /** A gap between ticks means that this instance could not hear; what it missed meanwhile accuses nobody. */
+    /**
+     * Extends all deadlines by a gap between ticks: this instance was paused and could not receive, so datagrams that
+     * it missed must not raise suspicions.
+     */
     private void allowForPause(long nowMs) {
         long gapMs = nowMs - lastTickMs;
         lastTickMs = nowMs;
@@ -222,13 +229,13 @@
 
     private void runProbe(long nowMs) {
         Probe current = probe;
-        if (current != null && current.repeatDue(nowMs)) {
-            askHelpers(current);
+        if (current != null && current.takeIndirectDue(nowMs)) {
+            sendPingRequests(current);
         }
-        if (current != null && current.failed(nowMs)) {
+        if (current != null && current.hasFailed(nowMs)) {
             onProbeFailed(current, nowMs);
         }
-        if (current != null && current.over(nowMs)) {
+        if (current != null && current.isOver(nowMs)) {
             probe = null;
         }
         if (probe == null && nowMs >= nextProbeMs) {
@@ -248,9 +255,9 @@
     }
 
     private @Nullable MemberEntry nextTarget() {
-        while (!urgent.isEmpty()) {
-            InstanceId first = urgent.iterator().next();
-            urgent.remove(first);
+        while (!priorityProbes.isEmpty()) {
+            InstanceId first = priorityProbes.iterator().next();
+            priorityProbes.remove(first);
             MemberEntry entry = table.get(first);
             if (entry != null && entry.status() == MemberStatus.ALIVE) {
                 return entry;
@@ -259,7 +266,7 @@
         return order.next(table);
     }
 
-    private void askHelpers(Probe current) {
+    private void sendPingRequests(Probe current) {
         MemberEntry target = table.get(current.target());
         if (target == null) {
             return;
@@ -275,21 +282,21 @@
             return;
         }
         table.suspect(target, nowMs);
-        // Tells the suspect at once, since it can only clear itself of what it has heard.
+        // Notifies the suspect immediately, since it can only refute a suspicion that it has received.
         send(target.address(), target, new Datagram.Ping(nextNumber++));
     }
 
-    // Contact with instances that are not held alive
+    // Reconnecting to instances that are not alive
 
-    private void runContact(long nowMs) {
-        if (nowMs < nextContactMs) {
+    private void runReconnect(long nowMs) {
+        if (nowMs < nextReconnectMs) {
             return;
         }
         boolean alone = table.size() == 1;
-        nextContactMs = nowMs + (alone ? options.probeIntervalMs() : options.contactIntervalMs());
+        nextReconnectMs = nowMs + (alone ? options.probeIntervalMs() : options.reconnectIntervalMs());
         List<MemberAddress> absent = absentAddresses();
-        int contacts = Math.min(absent.size(), alone ? MAX_CONTACTS_WHEN_ALONE : 1);
-        for (int i = 0; i < contacts; i++) {
+        int pings = Math.min(absent.size(), alone ? MAX_RECONNECTS_WHEN_ALONE : 1);
+        for (int i = 0; i < pings; i++) {
             MemberAddress address = absent.remove(random.nextInt(absent.size()));
             send(address, entryAt(address), new Datagram.Ping(nextNumber++));
         }
@@ -320,14 +327,14 @@
         return null;
     }
 
-    // Comparing views
+    // Anti-entropy: comparing views
 
     private void runExchange(long nowMs) {
         if (nowMs < nextExchangeMs) {
             return;
         }
         nextExchangeMs = nowMs + options.exchangeIntervalMs();
-        table.forget(nowMs);
+        table.removeExpired(nowMs);
         for (MemberEntry partner : order.sample(table, 1, null)) {
             send(partner.address(), partner, new Datagram.Compare(digest().digests()));
         }
@@ -337,12 +344,12 @@
         return table.digest(self, revision);
     }
 
-    private void sendBuckets(MemberAddress to, int buckets, boolean answer, long nowMs) {
+    private void sendBuckets(MemberAddress to, int buckets, boolean wantsReply, long nowMs) {
         List<MemberUpdate> chunk = new ArrayList<>();
         int bytes = 0;
-        boolean wantsAnswer = answer;
+        boolean requestReply = wantsReply;
         for (MemberEntry entry : table.all()) {
-            if (!entry.present() && !entry.diedLately(nowMs, options)) {
+            if (!entry.isPresent() && !entry.diedRecently(nowMs, options)) {
                 continue;
             }
             if ((buckets & (1 << ViewDigest.bucket(entry.id()))) == 0) {
@@ -350,37 +357,37 @@
             }
             MemberUpdate update = entry.toUpdate();
             if (bytes + update.estimatedBytes() > options.maxUpdateBytes()) {
-                sendRaw(to, new Datagram.Exchange(buckets, wantsAnswer), chunk);
-                wantsAnswer = false;
+                sendRaw(to, new Datagram.Exchange(buckets, requestReply), chunk);
+                requestReply = false;
                 chunk = new ArrayList<>();
                 bytes = 0;
             }
             chunk.add(update);
             bytes += update.estimatedBytes();
         }
-        if (!chunk.isEmpty() || wantsAnswer) {
-            sendRaw(to, new Datagram.Exchange(buckets, wantsAnswer), chunk);
+        if (!chunk.isEmpty() || requestReply) {
+            sendRaw(to, new Datagram.Exchange(buckets, requestReply), chunk);
         }
     }
 
-    // What datagrams say
+    // Handling datagrams
 
     private boolean isOwnName(Datagram.Sender sender) {
         if (!sender.id().equals(self.id())) {
             return false;
         }
-        noteOwnName(sender.incarnation());
+        checkSuperseded(sender.incarnation());
         return true;
     }
 
-    private void noteOwnName(long incarnation) {
+    private void checkSuperseded(long incarnation) {
         if (incarnation > self.incarnation() && !superseded) {
             superseded = true;
             actions.add(new MemberChanged(self.id(), incarnation, Change.SUPERSEDED));
         }
     }
 
-    private void hearSender(MemberAddress from, Datagram.Sender sender, long nowMs) {
+    private void applySender(MemberAddress from, Datagram.Sender sender, long nowMs) {
         MemberStatus status = sender.left() ? MemberStatus.LEFT : MemberStatus.ALIVE;
         table.apply(
                 new MemberUpdate(
@@ -399,22 +406,22 @@
         }
     }
 
-    private void hear(MemberUpdate update, long nowMs) {
+    private void applyUpdate(MemberUpdate update, long nowMs) {
         if (!update.id().equals(self.id())) {
             table.apply(update, nowMs);
             return;
         }
-        noteOwnName(update.incarnation());
-        boolean accused = update.status() != MemberStatus.ALIVE
+        checkSuperseded(update.incarnation());
+        boolean suspected = update.status() != MemberStatus.ALIVE
                 && update.incarnation() == self.incarnation()
                 && update.revision() >= revision;
-        if (accused) {
+        if (suspected) {
             revision = update.revision() + 1;
             actions.add(new MemberChanged(self.id(), self.incarnation(), Change.REFUTED));
         }
     }
 
-    private void answer(MemberAddress from, InstanceId sender, Datagram.Body body, long nowMs) {
+    private void handleBody(MemberAddress from, InstanceId sender, Datagram.Body body, long nowMs) {
         MemberEntry entry = table.get(sender);
         if (body instanceof Datagram.Ping ping) {
             send(from, entry, new Datagram.Ack(ping.number()));
@@ -423,7 +430,7 @@
         } else if (body instanceof Datagram.PingRequest request) {
             relay(from, request);
         } else if (body instanceof Datagram.Compare compare) {
-            int buckets = fewOf(digest().differences(compare.digests()));
+            int buckets = limitBuckets(digest().differences(compare.digests()));
             if (buckets != 0) {
                 sendBuckets(from, buckets, true, nowMs);
             }
@@ -432,13 +439,15 @@
         }
     }
 
-    /** A bounded number of the differing parts, any of them; the rest is for later exchanges. */
-    private int fewOf(int buckets) {
-        int few = buckets;
-        while (Integer.bitCount(few) > MAX_EXCHANGE_BUCKETS) {
-            few &= ~(1 << random.nextInt(ViewDigest.BUCKETS));
+    /**
+     * Returns a random subset of at most {@link #MAX_EXCHANGE_BUCKETS} buckets; later exchanges cover the others.
+     */
+    private int limitBuckets(int buckets) {
+        int limited = buckets;
+        while (Integer.bitCount(limited) > MAX_EXCHANGE_BUCKETS) {
+            limited &= ~(1 << random.nextInt(ViewDigest.BUCKETS));
         }
-        return few;
+        return limited;
     }
 
     private void onAck(Datagram.Ack ack) {
@@ -448,12 +457,12 @@
         }
         Relay relay = relays.remove(ack.number());
         if (relay != null) {
-            send(relay.asker(), null, new Datagram.Ack(relay.number()));
+            send(relay.requester(), null, new Datagram.Ack(relay.number()));
         }
     }
 
     private void relay(MemberAddress from, Datagram.PingRequest request) {
-        // A target that is gone never answers, so the oldest relays go when there are many.
+        // A crashed target never acknowledges, so the oldest relays are evicted at the limit.
         if (relays.size() >= MAX_RELAYS) {
             relays.remove(relays.keySet().iterator().next());
         }
@@ -465,18 +474,20 @@
     // Sending
 
     private void announce() {
-        for (MemberEntry entry : order.sample(table, ANNOUNCE_TO, null)) {
+        for (MemberEntry entry : order.sample(table, ANNOUNCE_FANOUT, null)) {
             send(entry.address(), entry, new Datagram.Ping(nextNumber++));
         }
     }
 
-    /** Sends with news; a receiver that is held suspect or dead is told so first. */
+    /**
+     * Sends a body with queued updates; for a receiver that is not alive its own status comes first, so it can refute.
+     */
     private void send(MemberAddress to, @Nullable MemberEntry receiver, Datagram.Body body) {
         List<MemberUpdate> updates = new ArrayList<>();
         if (receiver != null && receiver.status() != MemberStatus.ALIVE) {
             updates.add(receiver.toUpdate());
         }
-        updates.addAll(table.takeNews());
+        updates.addAll(table.takeUpdates());
         sendRaw(to, body, updates);
     }
 
@@ -498,8 +509,10 @@
         viewDirty |= change != Change.SUSPECTED && change != Change.CLEARED;
     }
 
-    /** Called on ticks, so that many changes at a time make one view. */
-    private void showView() {
+    /**
+     * Publishes the view if it changed. Called on ticks and on leaving, so that concurrent changes share one view.
+     */
+    private void publishView() {
         if (viewDirty) {
             viewDirty = false;
             actions.add(new MembershipAction.ViewChanged(view(), addresses()));
@@ -518,6 +531,6 @@
         return addresses;
     }
 
-    /** Who asked for a probe, and by which number. */
-    private record Relay(MemberAddress asker, long number) {}
+    /** The requester of an indirect probe and the number that its acknowledgement must carry. */
+    private record Relay(MemberAddress requester, long number) {}
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberAddress.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberAddress.java
@@ -1,6 +1,6 @@
 package org.marjoramswitch.kernel.membership;
 
-/** Where an instance takes datagrams, and by the same numbers its peers' connections. */
+/** The host and port on which an instance receives datagrams (UDP) and peer connections (TCP). */
 public record MemberAddress(String host, int port) {
     public static MemberAddress of(String host, int port) {
         return new MemberAddress(host, port);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberEntry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberEntry.java
@@ -4,7 +4,7 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 import org.marjoramswitch.kernel.model.Member;
 
-/** What this instance holds of one other member. */
+/** What this instance knows about one other member. */
 final class MemberEntry {
     private static final int MAX_FLAPS = 3;
 
@@ -19,7 +19,7 @@
     private long generation;
     private long deadlineMs;
     private long endedMs;
-    private long lastTroubleMs;
+    private long lastSuspectedMs;
     private int flaps;
 
     private MemberEntry(MemberUpdate update) {
@@ -27,15 +27,15 @@
         this.status = update.status();
         this.dataCentre = update.dataCentre();
         this.address = update.address();
-        take(update);
+        applyAnnouncement(update);
     }
 
     static MemberEntry of(MemberUpdate update) {
         return new MemberEntry(update);
     }
 
-    /** Takes over everything that the member itself announces. */
-    void take(MemberUpdate update) {
+    /** Replaces everything that the member itself announces. */
+    void applyAnnouncement(MemberUpdate update) {
         generation =
                 update.incarnation() > incarnation ? update.generation() : Math.max(generation, update.generation());
         incarnation = update.incarnation();
@@ -48,34 +48,36 @@
         }
     }
 
-    /** Negative where the update is older than what is held, 0 where it is about the same announcement. */
+    /** Returns a negative number if the update is older than this entry, 0 if both are of the same announcement. */
     int compareAnnouncement(MemberUpdate update) {
         int byIncarnation = Long.compare(update.incarnation(), incarnation);
         return byIncarnation != 0 ? byIncarnation : Long.compare(update.revision(), revision);
     }
 
-    void noteGeneration(long newer) {
+    void raiseGeneration(long newer) {
         generation = Math.max(generation, newer);
     }
 
-    void alive(long nowMs, FailureDetectorOptions options) {
+    void markAlive(long nowMs, FailureDetectorOptions options) {
         if (status == MemberStatus.DEAD && nowMs - endedMs < options.flapMemoryMs()) {
             flaps = Math.min(MAX_FLAPS, flaps + 1);
         }
         status = MemberStatus.ALIVE;
     }
 
-    /** A member that died and came back lately has longer, so that an unsteady one changes the view less often. */
-    void suspect(long nowMs, long suspicionMs, FailureDetectorOptions options) {
-        if (nowMs - lastTroubleMs >= options.flapMemoryMs()) {
+    /**
+     * Starts a suspicion. Recent deaths lengthen its timeout, so that a flapping member changes the view less often.
+     */
+    void markSuspect(long nowMs, long suspicionMs, FailureDetectorOptions options) {
+        if (nowMs - lastSuspectedMs >= options.flapMemoryMs()) {
             flaps = 0;
         }
-        lastTroubleMs = nowMs;
+        lastSuspectedMs = nowMs;
         status = MemberStatus.SUSPECT;
         deadlineMs = nowMs + suspicionMs * (1 + flaps);
     }
 
-    void end(MemberStatus ended, long nowMs) {
+    void markEnded(MemberStatus ended, long nowMs) {
         status = ended;
         endedMs = nowMs;
     }
@@ -84,25 +86,25 @@
         deadlineMs += byMs;
     }
 
-    /** Whether the member belongs to the view. */
-    boolean present() {
+    /** Whether the member is part of the view. */
+    boolean isPresent() {
         return status == MemberStatus.ALIVE || status == MemberStatus.SUSPECT;
     }
 
-    /** Whether the member died so lately that others may not know. */
-    boolean diedLately(long nowMs, FailureDetectorOptions options) {
+    /** Whether the member died so recently that other instances may not know. */
+    boolean diedRecently(long nowMs, FailureDetectorOptions options) {
         return status == MemberStatus.DEAD && nowMs - endedMs < options.deathGossipMs();
     }
 
-    boolean overdue(long nowMs) {
+    boolean isOverdue(long nowMs) {
         return status == MemberStatus.SUSPECT && nowMs >= deadlineMs;
     }
 
-    boolean forgettable(long nowMs, FailureDetectorOptions options) {
-        return !present() && nowMs - endedMs >= options.deadRetentionMs();
+    boolean isExpired(long nowMs, FailureDetectorOptions options) {
+        return !isPresent() && nowMs - endedMs >= options.deadRetentionMs();
     }
 
-    /** The update that says what is held; a dead member is reported as suspect, so that it can still speak up. */
+    /** Returns this entry as an update; a dead member is reported as suspect, so that it can refute. */
     MemberUpdate toUpdate() {
         if (status == MemberStatus.ALIVE) {
             return new MemberUpdate(
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberStatus.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberStatus.java
@@ -1,12 +1,12 @@
 package org.marjoramswitch.kernel.membership;
 
-/** What is said of a member; for equal incarnation and revision a later constant overrides an earlier one. */
+/** The status of a member; for equal incarnation and revision a later constant overrides an earlier one. */
 public enum MemberStatus {
     ALIVE,
-    /** It did not answer; it has a while to show itself. */
+    /** Did not acknowledge a probe; dead unless it refutes the suspicion within the suspicion timeout. */
     SUSPECT,
-    /** It did not show itself in time. Each instance concludes this for itself, so it is never sent. */
+    /** Did not refute the suspicion in time. Each instance decides this by itself, so it is never sent. */
     DEAD,
-    /** It said itself that it is gone. */
+    /** Announced its own exit. */
     LEFT
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberTable.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberTable.java
@@ -12,19 +12,19 @@
 import org.marjoramswitch.kernel.model.Member;
 
 /**
- * What this instance holds of the others, and the order of the statements about them: a newer incarnation overrides an
- * older one, within it a newer revision, within that a worse status.
+ * Holds what this instance knows about the other members and applies updates in their order: a newer incarnation
+ * overrides an older one, then a newer revision, then a worse status.
  *
- * <p>Nobody's word makes a member dead here. A statement that it is suspect starts this instance's own wait, so that
- * two halves of a fleet that meet again after a partition don't bury each other's members: whoever is alive hears of
- * the suspicion and answers it. A suspicion of a member that is not known here is dropped.
+ * <p>No update from a peer makes a member dead here. A suspicion starts this instance's own suspicion timeout, so that
+ * the two halves of a healed partition don't remove each other's members: a member that is alive receives the suspicion
+ * and refutes it. A suspicion of an unknown member is dropped.
  */
 final class MemberTable {
     private final FailureDetectorOptions options;
     private final BiConsumer<MemberEntry, Change> observer;
-    private final UpdateQueue news = new UpdateQueue();
+    private final UpdateQueue updates = new UpdateQueue();
     private final Map<InstanceId, MemberEntry> entries = new TreeMap<>();
-    /** The entries that are not alive: few, so that a tick need not look at the others. */
+    /** The entries that are not alive: usually few, so that a tick need not visit all entries. */
     private final Map<InstanceId, MemberEntry> notAlive = new TreeMap<>();
 
     private int present;
@@ -38,7 +38,7 @@
         return new MemberTable(options, observer);
     }
 
-    /** The members of the view, this instance included. */
+    /** Returns the number of members in the view, this instance included. */
     int size() {
         return present + 1;
     }
@@ -59,14 +59,14 @@
     List<MemberEntry> present() {
         List<MemberEntry> list = new ArrayList<>(present);
         for (MemberEntry entry : entries.values()) {
-            if (entry.present()) {
+            if (entry.isPresent()) {
                 list.add(entry);
             }
         }
         return list;
     }
 
-    /** The members that are not suspect. */
+    /** Returns the members that are alive and not suspect. */
     List<MemberEntry> alive() {
         List<MemberEntry> list = new ArrayList<>(present);
         for (MemberEntry entry : entries.values()) {
@@ -77,9 +77,9 @@
         return list;
     }
 
-    /** News to ride on a datagram. */
-    List<MemberUpdate> takeNews() {
-        return news.take(options.maxUpdateBytes(), options.retransmissions(size()));
+    /** Takes the queued updates to piggyback on one datagram. */
+    List<MemberUpdate> takeUpdates() {
+        return updates.take(options.maxUpdateBytes(), options.retransmissions(size()));
     }
 
     void apply(MemberUpdate update, long nowMs) {
@@ -92,7 +92,7 @@
         if (order < 0) {
             return;
         }
-        entry.noteGeneration(order == 0 ? update.generation() : 0);
+        entry.raiseGeneration(order == 0 ? update.generation() : 0);
         switch (update.status()) {
             case ALIVE -> applyAlive(entry, update, order > 0, nowMs);
             case SUSPECT -> applySuspect(entry, update, order > 0, nowMs);
@@ -101,29 +101,29 @@
         }
     }
 
-    /** This instance's own probe of a member failed. */
+    /** Marks a member suspect after this instance's own probe of it failed. */
     void suspect(MemberEntry entry, long nowMs) {
         if (entry.status() != MemberStatus.ALIVE) {
             return;
         }
-        accuse(entry, nowMs);
+        startSuspicion(entry, nowMs);
     }
 
-    /** Ends the wait for suspects that did not show themselves. */
-    void expire(long nowMs) {
+    /** Declares suspects dead whose suspicion timeout has elapsed. */
+    void expireSuspicions(long nowMs) {
         for (MemberEntry entry : notAlive.values()) {
-            if (entry.overdue(nowMs)) {
+            if (entry.isOverdue(nowMs)) {
                 end(entry, MemberStatus.DEAD, Change.DIED, nowMs);
             }
         }
     }
 
-    void forget(long nowMs) {
-        notAlive.values().removeIf(entry -> entry.forgettable(nowMs, options));
-        entries.values().removeIf(entry -> entry.forgettable(nowMs, options));
+    void removeExpired(long nowMs) {
+        notAlive.values().removeIf(entry -> entry.isExpired(nowMs, options));
+        entries.values().removeIf(entry -> entry.isExpired(nowMs, options));
     }
 
-    /** This instance was paused: the time in which it could not hear counts against nobody. */
+    /** Extends all deadlines by a time in which this instance was paused and could not receive refutations. */
     void postpone(long byMs) {
         notAlive.values().forEach(entry -> entry.postpone(byMs));
     }
@@ -132,7 +132,7 @@
         ViewDigest digest = new ViewDigest();
         digest.add(self.id(), self.incarnation(), selfRevision);
         for (MemberEntry entry : entries.values()) {
-            if (entry.present()) {
+            if (entry.isPresent()) {
                 digest.add(entry.id(), entry.incarnation(), entry.revision());
             }
         }
@@ -146,7 +146,7 @@
         MemberEntry entry = MemberEntry.of(update);
         entries.put(update.id(), entry);
         present++;
-        news.add(update);
+        updates.add(update);
         observer.accept(entry, Change.JOINED);
     }
 
@@ -155,25 +155,25 @@
             return;
         }
         boolean restarted = update.incarnation() > entry.incarnation();
-        boolean beganLeaving = update.leaving() && !entry.leaving();
+        boolean startedLeaving = update.leaving() && !entry.leaving();
         MemberStatus before = entry.status();
-        entry.take(update);
-        entry.alive(nowMs, options);
+        entry.applyAnnouncement(update);
+        entry.markAlive(nowMs, options);
         notAlive.remove(entry.id());
-        news.add(update);
+        updates.add(update);
         if (before == MemberStatus.DEAD || before == MemberStatus.LEFT) {
             present++;
         }
-        Change change = restarted ? Change.RESTARTED : changeFrom(before, beganLeaving);
+        Change change = restarted ? Change.RESTARTED : changeFrom(before, startedLeaving);
         if (change != null) {
             observer.accept(entry, change);
         }
     }
 
-    private static @Nullable Change changeFrom(MemberStatus before, boolean beganLeaving) {
+    private static @Nullable Change changeFrom(MemberStatus before, boolean startedLeaving) {
         return switch (before) {
-            case ALIVE -> beganLeaving ? Change.LEAVING : null;
-            case SUSPECT -> beganLeaving ? Change.LEAVING : Change.CLEARED;
+            case ALIVE -> startedLeaving ? Change.LEAVING : null;
+            case SUSPECT -> startedLeaving ? Change.LEAVING : Change.CLEARED;
             case DEAD, LEFT -> Change.RETURNED;
         };
     }
@@ -181,36 +181,36 @@
     private void applySuspect(MemberEntry entry, MemberUpdate update, boolean newer, long nowMs) {
         boolean restarted = update.incarnation() > entry.incarnation();
         if (newer) {
-            entry.take(update);
+            entry.applyAnnouncement(update);
         }
-        if (restarted && entry.present()) {
+        if (restarted && entry.isPresent()) {
             observer.accept(entry, Change.RESTARTED);
         }
-        if (!entry.present() || (!newer && entry.status() == MemberStatus.SUSPECT)) {
+        if (!entry.isPresent() || (!newer && entry.status() == MemberStatus.SUSPECT)) {
             return;
         }
-        accuse(entry, nowMs);
+        startSuspicion(entry, nowMs);
     }
 
-    private void accuse(MemberEntry entry, long nowMs) {
-        entry.suspect(nowMs, options.suspicionMs(size()), options);
+    private void startSuspicion(MemberEntry entry, long nowMs) {
+        entry.markSuspect(nowMs, options.suspicionMs(size()), options);
         notAlive.put(entry.id(), entry);
-        news.add(entry.toUpdate());
+        updates.add(entry.toUpdate());
         observer.accept(entry, Change.SUSPECTED);
     }
 
     private void applyLeft(MemberEntry entry, MemberUpdate update, long nowMs) {
-        entry.take(update);
-        if (entry.present()) {
-            news.add(update);
+        entry.applyAnnouncement(update);
+        if (entry.isPresent()) {
+            updates.add(update);
             end(entry, MemberStatus.LEFT, Change.LEFT, nowMs);
         } else {
-            entry.end(MemberStatus.LEFT, nowMs);
+            entry.markEnded(MemberStatus.LEFT, nowMs);
         }
     }
 
     private void end(MemberEntry entry, MemberStatus status, Change change, long nowMs) {
-        entry.end(status, nowMs);
+        entry.markEnded(status, nowMs);
         notAlive.put(entry.id(), entry);
         present--;
         observer.accept(entry, change);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberUpdate.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberUpdate.java
@@ -5,14 +5,15 @@
 import org.marjoramswitch.kernel.model.Member;
 
 /**
- * One statement about a member, as it is passed on from instance to instance.
+ * A gossiped statement about one member.
  *
- * @param incarnation grows with every restart
- * @param revision grows within an incarnation with every announcement of the member itself; only the member raises it
+ * @param incarnation increases with every restart
+ * @param revision increases within an incarnation with every announcement of the member; only the member raises it
  * @param status never {@link MemberStatus#DEAD}
  * @param leaving whether the member has announced its graceful shutdown
- * @param dataCentre known only where {@link #hasDetails()}, as are {@code address} and {@code processorMillicores}
- * @param generation of settings in force there, as far as the sender knows; not part of the order of updates
+ * @param dataCentre set only where {@link #hasDetails()}, as are {@code address} and {@code processorMillicores}
+ * @param generation generation of settings in force there, as far as the sender knows; does not affect the order of
+ *     updates
  */
 public record MemberUpdate(
         InstanceId id,
@@ -24,32 +25,32 @@
         MemberAddress address,
         long generation,
         int processorMillicores) {
-    /** Stands for what an accusation does not say. */
+    /** Placeholder in an update without details. */
     public static final DataCentreId NO_DATA_CENTRE = DataCentreId.of("");
-    /** Stands for what an accusation does not say. */
+    /** Placeholder in an update without details. */
     public static final MemberAddress NO_ADDRESS = MemberAddress.of("", 0);
 
-    private static final int ACCUSATION_BYTES = 18;
-    private static final int WHOLE_BYTES = 33;
+    private static final int STATUS_ONLY_BYTES = 18;
+    private static final int DETAILS_BYTES = 33;
 
-    /** An update that says only whom it means and what became of it. */
+    /** Creates an update that carries only the member's identity and status. */
     public static MemberUpdate statusOnly(
             InstanceId id, long incarnation, long revision, MemberStatus status, boolean leaving) {
         return new MemberUpdate(
                 id, incarnation, revision, status, leaving, NO_DATA_CENTRE, NO_ADDRESS, 0, Member.UNKNOWN_PROCESSOR);
     }
 
-    /** Whether the update says where the member is; an accusation only says whom it means. */
+    /** Whether the update carries the member's address and data centre, which only ALIVE updates do. */
     public boolean hasDetails() {
         return status == MemberStatus.ALIVE;
     }
 
-    /** At least the bytes that the update takes in a datagram, for ASCII names. */
+    /** Returns an upper bound of the bytes that the update takes in a datagram, for ASCII names. */
     public int estimatedBytes() {
         if (!hasDetails()) {
-            return ACCUSATION_BYTES + id.name().length();
+            return STATUS_ONLY_BYTES + id.name().length();
         }
-        return WHOLE_BYTES
+        return DETAILS_BYTES
                 + id.name().length()
                 + dataCentre.name().length()
                 + address.host().length();
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/MembershipAction.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/MembershipAction.java
@@ -4,21 +4,23 @@
 import org.marjoramswitch.kernel.model.FleetView;
 import org.marjoramswitch.kernel.model.InstanceId;
 
-/** What the failure detector decided. */
+/** An output of the failure detector, to be performed by the caller. */
 public sealed interface MembershipAction {
 
     record Send(MemberAddress to, Datagram datagram) implements MembershipAction {}
 
-    /** The view as it is now, with the addresses of its other members. */
+    /** The view changed; carries the new view and the addresses of its other members. */
     record ViewChanged(FleetView view, Map<InstanceId, MemberAddress> addresses) implements MembershipAction {}
 
-    /** An instance has a newer generation of settings in force than this one; repeated until this one has it. */
+    /**
+     * An instance has a newer generation of settings in force than this one; repeated until this one has caught up.
+     */
     record GenerationSeen(InstanceId instance, long generation) implements MembershipAction {}
 
-    /** For logs and counts. */
+    /** A member's status changed; for logs and metrics only. */
     record MemberChanged(InstanceId instance, long incarnation, Change change) implements MembershipAction {}
 
-    /** What became of a member in this instance's view. */
+    /** The kinds of status changes. */
     enum Change {
         JOINED,
         RESTARTED,
@@ -28,9 +30,9 @@
         RETURNED,
         LEAVING,
         LEFT,
-        /** This instance answered a suspicion of itself. */
+        /** This instance refuted a suspicion of itself. */
         REFUTED,
-        /** A newer process runs under this instance's name. */
+        /** A newer process uses this instance's name. */
         SUPERSEDED
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/Probe.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/Probe.java
@@ -2,14 +2,14 @@
 
 import org.marjoramswitch.kernel.model.InstanceId;
 
-/** The probe that is under way: whom, by which number, and when it is repeated through others and when it fails. */
+/** The probe in progress: its target and number, and the deadlines for indirect probes and for failure. */
 final class Probe {
     private final InstanceId target;
     private final long number;
     private long directDeadlineMs;
     private long deadlineMs;
-    private boolean repeated;
-    private boolean answered;
+    private boolean indirectSent;
+    private boolean acknowledged;
 
     private Probe(InstanceId target, long number, long directDeadlineMs, long deadlineMs) {
         this.target = target;
@@ -31,22 +31,22 @@
     }
 
     void onAck(long ackNumber) {
-        answered |= ackNumber == number;
+        acknowledged |= ackNumber == number;
     }
 
-    /** True once, when the direct answer is late. */
-    boolean repeatDue(long nowMs) {
-        boolean due = !answered && !repeated && nowMs >= directDeadlineMs;
-        repeated |= due;
+    /** Returns true once, when the direct ping was not acknowledged in time and indirect probes are due. */
+    boolean takeIndirectDue(long nowMs) {
+        boolean due = !acknowledged && !indirectSent && nowMs >= directDeadlineMs;
+        indirectSent |= due;
         return due;
     }
 
-    boolean failed(long nowMs) {
-        return !answered && nowMs >= deadlineMs;
+    boolean hasFailed(long nowMs) {
+        return !acknowledged && nowMs >= deadlineMs;
     }
 
-    boolean over(long nowMs) {
-        return answered || nowMs >= deadlineMs;
+    boolean isOver(long nowMs) {
+        return acknowledged || nowMs >= deadlineMs;
     }
 
     void postpone(long byMs) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/ProbeOrder.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/ProbeOrder.java
@@ -6,8 +6,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The order in which members are probed: all of them once in a random order, then again in another. A member waits at
- * most two rounds for its probe, which a free choice each time would not promise.
+ * Selects the members to probe: in each round every member once, in random order. A member is probed at least once in
+ * two rounds, which independent random choices would not guarantee.
  */
 final class ProbeOrder {
     private final SplittableRandom random;
@@ -17,14 +17,14 @@
         this.random = random;
     }
 
-    /** The next member that is not suspect, null where there is none. */
+    /** Returns the next member that is alive, or null if there is none. */
     @Nullable
     MemberEntry next(MemberTable table) {
         if (round.isEmpty()) {
             round.addAll(table.alive());
         }
         while (!round.isEmpty()) {
-            MemberEntry entry = takeAny(round);
+            MemberEntry entry = removeRandom(round);
             if (entry.status() == MemberStatus.ALIVE) {
                 return entry;
             }
@@ -32,23 +32,23 @@
         return null;
     }
 
-    /** Up to {@code count} others that are not suspect, at random. */
-    List<MemberEntry> sample(MemberTable table, int count, @Nullable MemberEntry without) {
+    /** Returns up to {@code count} random members that are alive, other than {@code excluded}. */
+    List<MemberEntry> sample(MemberTable table, int count, @Nullable MemberEntry excluded) {
         List<MemberEntry> candidates = table.alive();
-        candidates.remove(without);
+        candidates.remove(excluded);
         List<MemberEntry> sample = new ArrayList<>();
         while (sample.size() < count && !candidates.isEmpty()) {
-            sample.add(takeAny(candidates));
+            sample.add(removeRandom(candidates));
         }
         return sample;
     }
 
-    private MemberEntry takeAny(List<MemberEntry> entries) {
+    private MemberEntry removeRandom(List<MemberEntry> entries) {
         int last = entries.size() - 1;
         int index = random.nextInt(entries.size());
-        MemberEntry taken = entries.get(index);
+        MemberEntry removed = entries.get(index);
         entries.set(index, entries.get(last));
         entries.remove(last);
-        return taken;
+        return removed;
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/ViewDigest.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/ViewDigest.java
@@ -5,8 +5,9 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * Digests of a view in a fixed number of parts, so that two members compare their views at a constant cost and exchange
- * only the parts that differ. A part's digest is the sum of a hash for each of its members, whatever their order.
+ * Digests of a view in a fixed number of buckets, so that two members compare their views at a constant cost and
+ * exchange only the buckets that differ. A bucket's digest is the sum of its members' hashes and thus independent of
+ * their order.
  */
 final class ViewDigest {
     static final int BUCKETS = 16;
@@ -15,7 +16,7 @@
 
     private final int[] sums = new int[BUCKETS];
 
-    /** The part that a member belongs to; the same on every instance and version. */
+    /** Returns the bucket of a member; must be the same on every instance and version. */
     static int bucket(InstanceId id) {
         return (id.name().hashCode() * FACTOR) >>> (Integer.SIZE - 4);
     }
@@ -35,7 +36,9 @@
         return digests;
     }
 
-    /** The parts that differ, one bit each; all of them where the other side divides its view differently. */
+    /**
+     * Returns a bit mask of the buckets that differ; all of them if the other side uses another number of buckets.
+     */
     int differences(List<Integer> others) {
         if (others.size() != BUCKETS) {
             return (1 << BUCKETS) - 1;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/package-info.java
@@ -1,4 +1,4 @@
-/** Who is alive: a failure detector in the manner of SWIM, as pure decisions on datagrams and time. */
+/** Membership: a SWIM failure detector as a deterministic state machine on datagrams and time. */
 @NullMarked
 package org.marjoramswitch.kernel.membership;
 
--- a/kernel/src/test/java/org/marjoramswitch/kernel/membership/FailureDetectorTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/membership/FailureDetectorTest.java
@@ -22,37 +22,37 @@
 
 class FailureDetectorTest {
     private static final int FLEET = 9;
-    /** 350 gives the figures of docs/MEMBERSHIP.md; fewer show the same and take less time. */
+    /** 350 reproduces the figures of docs/MEMBERSHIP.md; the default shows the same behaviour in less time. */
     private static final int LARGE_FLEET = Integer.getInteger("membership.large", 120);
 
     private static final Set<Integer> ALL = instances(0, FLEET);
 
-    private final SimulatedNetwork loop = new SimulatedNetwork(42);
+    private final SimulatedNetwork network = new SimulatedNetwork(42);
 
     @Test
-    void aFleetThatStartsTogetherFindsItself() {
-        loop.startAll(FLEET);
-        long convergedMs = loop.runUntil(() -> loop.agree(ALL, ALL), 10_000);
+    void instancesThatStartTogetherFindEachOther() {
+        network.startAll(FLEET);
+        long convergedMs = network.runUntil(() -> network.allSee(ALL, ALL), 10_000);
         System.out.println("event=measured case=start members=9 converged_ms=" + convergedMs);
         assertNotEquals(-1, convergedMs);
-        loop.run(60_000);
-        assertEquals(0, loop.countChanges("SUSPECTED"), "no loss, so no suspicion");
-        assertTrue(loop.largestBytes <= DatagramCodec.MAX_BYTES);
+        network.run(60_000);
+        assertEquals(0, network.countChanges("SUSPECTED"), "no loss, so no suspicion");
+        assertTrue(network.largestBytes <= DatagramCodec.MAX_BYTES);
     }
 
     @Test
-    void aCrashedInstanceLeavesEveryViewWithinSeconds() {
-        // One of nine instances dies without a word. Whoever probes it next suspects it, the suspicion spreads, and
-        // after the suspicion time each of the others drops it from its view. Twenty runs, each another instance.
+    void removesACrashedInstanceFromEveryViewWithinSeconds() {
+        // One of nine instances crashes. The next instance that probes it suspects it, the suspicion spreads, and after
+        // the suspicion timeout each of the others removes it from its view. Twenty runs with different instances.
         List<Long> timesMs = new ArrayList<>();
         for (int round = 0; round < 20; round++) {
-            SimulatedNetwork rounds = new SimulatedNetwork(round);
-            rounds.startAll(FLEET);
-            rounds.run(5_000 + round * 37L);
+            SimulatedNetwork crashing = new SimulatedNetwork(round);
+            crashing.startAll(FLEET);
+            crashing.run(5_000 + round * 37L);
             int victim = round % FLEET;
-            rounds.detectors.remove(victim);
+            crashing.detectors.remove(victim);
             Set<Integer> rest = without(ALL, victim);
-            timesMs.add(rounds.runUntil(() -> rounds.agree(rest, rest), 10_000));
+            timesMs.add(crashing.runUntil(() -> crashing.allSee(rest, rest), 10_000));
         }
         timesMs.sort(null);
         System.out.println("event=measured case=crash members=9 all_views_ms=" + timesMs);
@@ -62,121 +62,121 @@
     }
 
     @Property(tries = 15, seed = "21")
-    void lossAndDelayDoNotBreakTheFleetForLong(
-            @ForAll long seed, @ForAll @IntRange(min = 0, max = 20) int lossPercent) {
+    void viewsConvergeAfterLossAndDelay(@ForAll long seed, @ForAll @IntRange(min = 0, max = 20) int lossPercent) {
         SimulatedNetwork lossy = new SimulatedNetwork(seed);
         lossy.startAll(FLEET);
         lossy.lossShare = lossPercent / 100.0;
         lossy.maxDelayMs = 40;
         lossy.run(30_000);
         lossy.lossShare = 0;
-        assertNotEquals(-1, lossy.runUntil(() -> lossy.agree(ALL, ALL), 10_000));
+        assertNotEquals(-1, lossy.runUntil(() -> lossy.allSee(ALL, ALL), 10_000));
     }
 
     @Test
-    void aTwentiethOfTheDatagramsLostBringsNoFalseDeath() {
-        loop.startAll(FLEET);
-        loop.run(5_000);
-        loop.lossShare = 0.05;
-        loop.run(600_000);
+    void fivePercentLossCausesNoFalseDeath() {
+        network.startAll(FLEET);
+        network.run(5_000);
+        network.lossShare = 0.05;
+        network.run(600_000);
         System.out.println("event=measured case=loss members=9 loss=0.05 minutes=10 suspicions="
-                + loop.countChanges("SUSPECTED") + " deaths=" + loop.countChanges("DIED"));
-        assertEquals(0, loop.countChanges("DIED"));
+                + network.countChanges("SUSPECTED") + " deaths=" + network.countChanges("DIED"));
+        assertEquals(0, network.countChanges("DIED"));
     }
 
     @Property(tries = 10, seed = "22")
-    void aPartitionHeals(@ForAll long seed, @ForAll @IntRange(min = 1, max = 8) int cut) {
-        // The fleet is cut in two for 20 s. Each side drops the other and serves on. When the cut ends the sides find
-        // each other again by pinging what they hold dead, and all see all.
+    void viewsConvergeAfterAPartition(@ForAll long seed, @ForAll @IntRange(min = 1, max = 8) int cut) {
+        // The fleet is partitioned in two for 20 s. Each side removes the other and continues. When the partition ends,
+        // the sides find each other again by pinging members that they hold dead, and all views become complete.
         SimulatedNetwork divided = new SimulatedNetwork(seed);
         divided.startAll(FLEET);
         divided.run(5_000);
-        divided.carries = (from, to) -> (from < cut) == (to < cut);
+        divided.connected = (from, to) -> (from < cut) == (to < cut);
         divided.run(20_000);
-        assertTrue(divided.agree(instances(0, cut), instances(0, cut)));
-        assertTrue(divided.agree(instances(cut, FLEET), instances(cut, FLEET)));
+        assertTrue(divided.allSee(instances(0, cut), instances(0, cut)));
+        assertTrue(divided.allSee(instances(cut, FLEET), instances(cut, FLEET)));
 
-        divided.carries = (from, to) -> true;
-        assertNotEquals(-1, divided.runUntil(() -> divided.agree(ALL, ALL), 10_000));
+        divided.connected = (from, to) -> true;
+        assertNotEquals(-1, divided.runUntil(() -> divided.allSee(ALL, ALL), 10_000));
     }
 
     @Test
-    void aPartitionHealsWithoutTheList() {
-        // The platform's service is down and names nobody. What each side remembers of the dead is enough.
-        loop.startAll(FLEET);
-        loop.run(5_000);
-        loop.readList(0);
-        loop.carries = (from, to) -> (from < 4) == (to < 4);
-        loop.run(60_000);
-        loop.carries = (from, to) -> true;
-        assertNotEquals(-1, loop.runUntil(() -> loop.agree(ALL, ALL), 10_000));
+    void viewsConvergeAfterAPartitionWithoutTheList() {
+        // The platform's key-value store is down and lists nobody. The remembered dead members are sufficient.
+        network.startAll(FLEET);
+        network.run(5_000);
+        network.readList(0);
+        network.connected = (from, to) -> (from < 4) == (to < 4);
+        network.run(60_000);
+        network.connected = (from, to) -> true;
+        assertNotEquals(-1, network.runUntil(() -> network.allSee(ALL, ALL), 10_000));
     }
 
     @Test
-    void oneBrokenPathAccusesNobody() {
-        // Datagrams between two instances are lost both ways, all other paths work. The probes through helpers
-        // answer for the broken path, and no view changes.
-        loop.startAll(FLEET);
-        loop.run(5_000);
-        loop.carries = (from, to) -> from + to != 3 || Math.abs(from - to) != 1;
-        loop.run(60_000);
-        assertEquals(0, loop.countChanges("DIED"));
-        assertTrue(loop.agree(ALL, ALL));
+    void indirectProbesPreventFalseDeathOverOneBrokenPath() {
+        // Datagrams between two instances are lost in both directions; all other paths work. Indirect probes through
+        // other members succeed, and no view changes.
+        network.startAll(FLEET);
+        network.run(5_000);
+        network.connected = (from, to) -> from + to != 3 || Math.abs(from - to) != 1;
+        network.run(60_000);
+        assertEquals(0, network.countChanges("DIED"));
+        assertTrue(network.allSee(ALL, ALL));
     }
 
     @Test
-    void anInstancePausedPastDetectionComesBackAndAccusesNobody() {
-        // One instance stops for 10 s and is dead to all. It resumes with its old state and a late clock: it holds its
-        // own wait against nobody, hears that it is suspect, answers, and is back under the same incarnation.
-        loop.startAll(FLEET);
-        loop.run(5_000);
-        loop.paused.add(4);
-        loop.run(10_000);
+    void aPausedInstanceReturnsAndDeclaresNobodyDead() {
+        // One instance pauses for 10 s and is dead to all others. It resumes with its old state and a late clock: it
+        // must not declare others dead because of its own pause, and must refute its suspicion under the same
+        // incarnation.
+        network.startAll(FLEET);
+        network.run(5_000);
+        network.paused.add(4);
+        network.run(10_000);
         Set<Integer> rest = without(ALL, 4);
-        assertTrue(loop.agree(rest, rest));
-        loop.changes.clear();
+        assertTrue(network.allSee(rest, rest));
+        network.changes.clear();
 
-        loop.paused.remove(4);
-        long backMs = loop.runUntil(() -> loop.agree(ALL, ALL), 10_000);
+        network.paused.remove(4);
+        long backMs = network.runUntil(() -> network.allSee(ALL, ALL), 10_000);
 
         System.out.println("event=measured case=resume members=9 back_ms=" + backMs);
         assertNotEquals(-1, backMs);
         assertEquals(
                 0,
-                loop.changes.stream()
+                network.changes.stream()
                         .filter(change -> change.startsWith("4 ") && change.endsWith("DIED"))
                         .count());
-        assertTrue(loop.countChanges("REFUTED") >= 1);
+        assertTrue(network.countChanges("REFUTED") >= 1);
     }
 
     @Test
-    void anEmptyRestartShowsItsNewIncarnationEvenIfTheDeathWasNotNoticed() {
-        loop.startAll(FLEET);
-        loop.run(5_000);
-        loop.start(2, 2);
-        loop.readList(FLEET);
+    void aRestartShowsItsNewIncarnationEvenIfTheDeathWasNotDetected() {
+        network.startAll(FLEET);
+        network.run(5_000);
+        network.start(2, 2);
+        network.readList(FLEET);
         assertNotEquals(
                 -1,
-                loop.runUntil(
-                        () -> loop.detectors.values().stream()
+                network.runUntil(
+                        () -> network.detectors.values().stream()
                                 .allMatch(detector -> incarnation(detector, 2) == SimulatedNetwork.INCARNATION + 2),
                         5_000));
-        assertEquals(0, loop.countChanges("DIED"));
+        assertEquals(0, network.countChanges("DIED"));
     }
 
     @Test
-    void anOlderProcessUnderTheSameNameIsToldAndDoesNotArgue() {
-        loop.startAll(FLEET);
-        loop.run(5_000);
-        FailureDetector old = loop.detectors.get(2);
-        loop.start(2, 2);
-        loop.readList(FLEET);
-        loop.run(5_000);
+    void anOlderProcessWithTheSameNameIsSupersededAndDoesNotRefute() {
+        network.startAll(FLEET);
+        network.run(5_000);
+        FailureDetector old = network.detectors.get(2);
+        network.start(2, 2);
+        network.readList(FLEET);
+        network.run(5_000);
         long newer = SimulatedNetwork.INCARNATION + 2;
         Datagram.Sender young =
                 new Datagram.Sender(SimulatedNetwork.id(2), newer, 0, false, false, DataCentreId.of("leith-2"), 0, 0);
         List<MembershipAction> actions = old.onDatagram(
-                SimulatedNetwork.address(2), new Datagram(young, new Datagram.Ping(1), List.of()), loop.nowMs);
+                SimulatedNetwork.address(2), new Datagram(young, new Datagram.Ping(1), List.of()), network.nowMs);
         assertEquals(
                 List.of(new MembershipAction.MemberChanged(
                         SimulatedNetwork.id(2), newer, MembershipAction.Change.SUPERSEDED)),
@@ -184,66 +184,67 @@
     }
 
     @Test
-    void leavingIsSeenByAllAndDepartingNeedsNoDetection() {
-        loop.startAll(FLEET);
-        loop.run(5_000);
-        loop.perform(3, loop.detectors.get(3).onLeave(loop.nowMs));
-        long seenMs = loop.runUntil(
-                () -> loop.detectors.values().stream()
+    void leavingIsSeenByAllAndAnAnnouncedExitNeedsNoDetection() {
+        network.startAll(FLEET);
+        network.run(5_000);
+        network.perform(3, network.detectors.get(3).onLeave(network.nowMs));
+        long seenMs = network.runUntil(
+                () -> network.detectors.values().stream()
                         .allMatch(detector ->
                                 detector.view().member(SimulatedNetwork.id(3)).leaving()),
                 5_000);
         System.out.println("event=measured case=leaving members=9 seen_ms=" + seenMs);
         assertTrue(seenMs >= 0 && seenMs <= 300);
 
-        loop.perform(3, loop.detectors.get(3).onDepart(loop.nowMs));
+        network.perform(3, network.detectors.get(3).onDepart(network.nowMs));
         Set<Integer> rest = without(ALL, 3);
-        loop.run(50);
-        loop.detectors.remove(3);
-        assertNotEquals(-1, loop.runUntil(() -> loop.agree(rest, rest), 1_000));
-        loop.run(5_000);
-        assertTrue(loop.agree(rest, rest));
-        assertEquals(0, loop.countChanges("SUSPECTED"));
+        network.run(50);
+        network.detectors.remove(3);
+        assertNotEquals(-1, network.runUntil(() -> network.allSee(rest, rest), 1_000));
+        network.run(5_000);
+        assertTrue(network.allSee(rest, rest));
+        assertEquals(0, network.countChanges("SUSPECTED"));
     }
 
     @Test
-    void theListNeitherRemovesNorHidesAnInstance() {
-        loop.startAll(FLEET);
-        loop.run(5_000);
-        loop.readList(5);
-        loop.run(10_000);
-        assertTrue(loop.agree(ALL, ALL));
+    void anInstanceMissingFromTheListStaysInTheViews() {
+        network.startAll(FLEET);
+        network.run(5_000);
+        network.readList(5);
+        network.run(10_000);
+        assertTrue(network.allSee(ALL, ALL));
     }
 
     @Test
-    void anUnsteadyInstanceChangesViewsLessAndLess() {
-        // One instance is cut off for 3 s out of every 6, for two minutes. Were each gap a death, every view would
-        // change 40 times. Since the wait grows after each death, it soon outlasts the gaps; steady again, all agree.
-        loop.startAll(FLEET);
-        loop.run(5_000);
+    void aFlappingInstanceChangesViewsLessOften() {
+        // One instance is disconnected for 3 s out of every 6, for two minutes. If each gap were a death, every view
+        // would change 40 times. The suspicion timeout grows after each death until it exceeds the gaps. Once the
+        // instance stays connected, all views are complete.
+        network.startAll(FLEET);
+        network.run(5_000);
         for (int round = 0; round < 20; round++) {
-            loop.carries = (from, to) -> from != 6 && to != 6;
-            loop.run(3_000);
-            loop.carries = (from, to) -> true;
-            loop.run(3_000);
+            network.connected = (from, to) -> from != 6 && to != 6;
+            network.run(3_000);
+            network.connected = (from, to) -> true;
+            network.run(3_000);
         }
-        long deaths = loop.changes.stream()
+        long deaths = network.changes.stream()
                 .filter(change -> change.startsWith("0 ") && change.endsWith("leith-a-6 DIED"))
                 .count();
         System.out.println("event=measured case=flapping gaps=20 deaths_seen_by_one=" + deaths);
         assertTrue(deaths >= 1 && deaths <= 8, () -> "deaths " + deaths);
-        assertNotEquals(-1, loop.runUntil(() -> loop.agree(ALL, ALL), 10_000));
+        assertNotEquals(-1, network.runUntil(() -> network.allSee(ALL, ALL), 10_000));
     }
 
     @Test
-    void aNewerGenerationIsNoticedByAll() {
-        loop.startAll(FLEET);
-        loop.run(5_000);
-        FailureDetector first = loop.detectors.get(0);
+    void aNewerGenerationReachesAll() {
+        network.startAll(FLEET);
+        network.run(5_000);
+        FailureDetector first = network.detectors.get(0);
         first.announceGeneration(7);
         Set<Integer> noticed = new HashSet<>(Set.of(0));
-        Map<Integer, FailureDetector> all = loop.detectors;
-        long spreadMs = loop.runUntil(
+        Map<Integer, FailureDetector> all = network.detectors;
+        long spreadMs = network.runUntil(
                 () -> {
                     all.forEach((i, detector) -> {
                         if (detector.generations().containsValue(7L) && noticed.add(i)) {
@@ -258,7 +259,7 @@
     }
 
     @Test
-    void theCostPerInstanceDoesNotGrowWithTheFleet() {
+    void trafficPerInstanceDoesNotGrowWithTheFleet() {
         Cost nine = steadyCost(9);
         Cost many = steadyCost(LARGE_FLEET);
         System.out.println("event=measured case=steady members=9 " + nine);
@@ -270,47 +271,49 @@
     }
 
     @Test
-    void aLargeFleetCutInHalvesHeals() {
+    void viewsOfALargeFleetConvergeAfterAPartitionInHalves() {
         int fleet = LARGE_FLEET;
-        loop.checkEveryMs = 500;
+        network.checkEveryMs = 500;
         Set<Integer> all = instances(0, fleet);
-        loop.startAll(fleet);
+        network.startAll(fleet);
         int half = fleet / 2;
-        long startMs = loop.runUntil(() -> loop.agree(all, all), 60_000);
-        loop.carries = (from, to) -> (from < half) == (to < half);
-        long splitMs = loop.runUntil(
-                () -> loop.agree(instances(0, half), instances(0, half))
-                        && loop.agree(instances(half, fleet), instances(half, fleet)),
+        long startMs = network.runUntil(() -> network.allSee(all, all), 60_000);
+        network.connected = (from, to) -> (from < half) == (to < half);
+        long splitMs = network.runUntil(
+                () -> network.allSee(instances(0, half), instances(0, half))
+                        && network.allSee(instances(half, fleet), instances(half, fleet)),
                 60_000);
-        loop.carries = (from, to) -> true;
-        loop.resetCounts();
-        long healMs = loop.runUntil(() -> loop.agree(all, all), 120_000);
+        network.connected = (from, to) -> true;
+        network.resetCounts();
+        long healMs = network.runUntil(() -> network.allSee(all, all), 120_000);
         System.out.println("event=measured case=halves members=" + fleet + " start_ms=" + startMs + " split_ms="
-                + splitMs + " heal_ms=" + healMs + worst(healMs) + " largest_datagram_bytes=" + loop.largestBytes);
+                + splitMs + " heal_ms=" + healMs + worst(healMs) + " largest_datagram_bytes=" + network.largestBytes);
         assertFalse(startMs < 0 || splitMs < 0 || healMs < 0);
-        assertTrue(loop.largestBytes <= DatagramCodec.MAX_BYTES);
+        assertTrue(network.largestBytes <= DatagramCodec.MAX_BYTES);
     }
 
     @Test
-    void aDataCentreLostFromALargeFleetLeavesEveryView() {
-        // One instance in six stops at the same moment. Every other instance drops all of them.
+    void removesALostDataCentreFromEveryViewOfALargeFleet() {
+        // One instance in six stops at the same moment; every other instance must remove all of them from its view.
         int fleet = LARGE_FLEET;
-        loop.checkEveryMs = 500;
-        loop.startAll(fleet);
-        loop.run(60_000);
+        network.checkEveryMs = 500;
+        network.startAll(fleet);
+        network.run(60_000);
         int kept = fleet - fleet / 6;
-        loop.detectors.keySet().removeIf(i -> i >= kept);
-        loop.resetCounts();
+        network.detectors.keySet().removeIf(i -> i >= kept);
+        network.resetCounts();
         Set<Integer> rest = instances(0, kept);
-        long allMs = loop.runUntil(() -> loop.agree(rest, rest), 60_000);
+        long allMs = network.runUntil(() -> network.allSee(rest, rest), 60_000);
         System.out.println("event=measured case=data_centre members=" + fleet + " lost=" + fleet / 6 + " all_views_ms="
                 + allMs + worst(allMs));
         assertNotEquals(-1, allMs);
     }
 
     private String worst(long forMs) {
-        long worstBytes =
-                loop.bytesOut.values().stream().mapToLong(Long::longValue).max().orElse(0);
+        long worstBytes = network.bytesOut.values().stream()
+                .mapToLong(Long::longValue)
+                .max()
+                .orElse(0);
         return " worst_bytes_out_s=" + worstBytes * 1_000 / Math.max(1, forMs);
     }
 
@@ -318,7 +321,7 @@
         SimulatedNetwork steady = new SimulatedNetwork(members);
         steady.startAll(members);
         steady.run(members * 300L);
-        assertTrue(steady.agree(instances(0, members), instances(0, members)));
+        assertTrue(steady.allSee(instances(0, members), instances(0, members)));
         steady.resetCounts();
         int seconds = 30;
         steady.run(seconds * 1_000L);
--- a/kernel/src/test/java/org/marjoramswitch/kernel/membership/SimulatedNetwork.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/membership/SimulatedNetwork.java
@@ -17,10 +17,10 @@
 import org.marjoramswitch.kernel.wire.DatagramCodec;
 import org.marjoramswitch.kernel.wire.DatagramResult;
 
-/** A queue of datagrams and a clock between the detectors of one test; every datagram goes through the codec. */
+/** Connects the detectors of one test by a simulated network and clock; every datagram passes through the codec. */
 final class SimulatedNetwork {
     static final int TICK_MS = 50;
-    /** As large as a time of start in ms, so that sizes are as in practice. */
+    /** As large as a start time in ms, so that datagrams have realistic sizes. */
     static final long INCARNATION = 1_800_000_000_000L;
 
     static final int MAX_INSTANCES = 400;
@@ -34,12 +34,12 @@
     double lossShare;
     int maxDelayMs = 3;
     int checkEveryMs = TICK_MS;
-    BiPredicate<Integer, Integer> carries = (from, to) -> true;
+    BiPredicate<Integer, Integer> connected = (from, to) -> true;
     long nowMs = 1_000;
 
     private final DatagramCodec codec = DatagramCodec.create("key");
     private final Random random;
-    private final PriorityQueue<Flight> flights = new PriorityQueue<>();
+    private final PriorityQueue<InFlight> inFlight = new PriorityQueue<>();
     private long sequence;
 
     SimulatedNetwork(long seed) {
@@ -69,8 +69,8 @@
         detectors.forEach((i, detector) -> perform(i, detector.onListRead(list, nowMs)));
     }
 
-    void run(long forMs) {
-        long endMs = nowMs + forMs;
+    void run(long durationMs) {
+        long endMs = nowMs + durationMs;
         while (nowMs < endMs) {
             nowMs++;
             deliver();
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Runs until the condition holds and returns how long that took, or -1 where it did not within the limit. */
+    /** Runs until the condition holds; returns the time taken in ms, or -1 if it did not hold within the limit. */
     long runUntil(java.util.function.BooleanSupplier condition, long limitMs) {
         long startMs = nowMs;
         while (nowMs - startMs < limitMs) {
@@ -98,15 +98,15 @@
     void perform(int from, List<MembershipAction> actions) {
         for (MembershipAction action : actions) {
             if (action instanceof MembershipAction.Send send) {
-                post(from, send);
+                transmit(from, send);
             } else if (action instanceof MemberChanged change) {
                 changes.add(from + " " + change.instance() + " " + change.change());
             }
         }
     }
 
-    /** Whether each of these instances sees exactly the given members. */
-    boolean agree(Set<Integer> instances, Set<Integer> members) {
+    /** Whether the view of each of these instances holds exactly the given members. */
+    boolean allSee(Set<Integer> instances, Set<Integer> members) {
         Set<InstanceId> expected = new HashSet<>();
         members.forEach(member -> expected.add(id(member)));
         return instances.stream()
@@ -130,37 +130,37 @@
         return MemberAddress.of("10.0.0." + instance / 200, 7_000 + instance);
     }
 
-    private void post(int from, MembershipAction.Send send) {
+    private void transmit(int from, MembershipAction.Send send) {
         byte[] bytes = codec.encode(send.datagram());
         largestBytes = Math.max(largestBytes, bytes.length);
         datagramsOut.merge(from, 1L, Long::sum);
         bytesOut.merge(from, (long) bytes.length, Long::sum);
         int to = send.to().port() - 7_000;
-        if (carries.test(from, to) && random.nextDouble() >= lossShare) {
-            flights.add(new Flight(nowMs + 1 + random.nextInt(maxDelayMs), sequence++, from, to, bytes));
+        if (connected.test(from, to) && random.nextDouble() >= lossShare) {
+            inFlight.add(new InFlight(nowMs + 1 + random.nextInt(maxDelayMs), sequence++, from, to, bytes));
         }
     }
 
-    /** Datagrams for a paused instance wait in its socket. */
+    /** Delivers due datagrams; those for a paused instance stay in its socket buffer. */
     private void deliver() {
-        List<Flight> held = new ArrayList<>();
-        while (!flights.isEmpty() && flights.peek().dueMs <= nowMs) {
-            Flight flight = flights.poll();
-            FailureDetector detector = detectors.get(flight.to);
-            if (paused.contains(flight.to)) {
-                held.add(flight);
+        List<InFlight> delayed = new ArrayList<>();
+        while (!inFlight.isEmpty() && inFlight.peek().dueMs <= nowMs) {
+            InFlight datagram = inFlight.poll();
+            FailureDetector detector = detectors.get(datagram.to);
+            if (paused.contains(datagram.to)) {
+                delayed.add(datagram);
             } else if (detector != null) {
-                var decoded = (DatagramResult.Decoded) codec.decode(flight.bytes, flight.bytes.length);
-                perform(flight.to, detector.onDatagram(address(flight.from), decoded.datagram(), nowMs));
+                var decoded = (DatagramResult.Decoded) codec.decode(datagram.bytes, datagram.bytes.length);
+                perform(datagram.to, detector.onDatagram(address(datagram.from), decoded.datagram(), nowMs));
             }
         }
-        flights.addAll(held);
+        inFlight.addAll(delayed);
     }
 
-    @SuppressWarnings("ArrayRecordComponent") // never compared as a whole
-    private record Flight(long dueMs, long sequence, int from, int to, byte[] bytes) implements Comparable<Flight> {
+    @SuppressWarnings("ArrayRecordComponent") // instances are never compared for equality
+    private record InFlight(long dueMs, long sequence, int from, int to, byte[] bytes) implements Comparable<InFlight> {
         @Override
-        public int compareTo(Flight other) {
+        public int compareTo(InFlight other) {
             int byTime = Long.compare(dueMs, other.dueMs);
             return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
