--- a/kernel/src/main/java/org/marjoramswitch/kernel/watch/WatchAction.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/watch/WatchAction.java
@@ -3,17 +3,17 @@
 import org.marjoramswitch.kernel.message.PeerMessage;
 import org.marjoramswitch.kernel.model.InstanceId;
 
-/** What {@link WatchSharing} wants done. */
+/** An output of {@link WatchSharing}, to be performed by the caller. */
 public sealed interface WatchAction {
-    /** Send a peer a message. */
+    /** Send a message to a peer. */
     record Send(InstanceId to, PeerMessage message) implements WatchAction {}
 
-    /** Tell this instance's own duty that an entry below the prefix was written or, without a value, removed. */
+    /** Notify this instance's listener that an entry below the prefix was written or, without a value, removed. */
     record Notify(String prefix, PeerMessage.WatchedEntry change) implements WatchAction {}
 
-    /** Watch the prefix at the service itself, from the revision after this one. */
+    /** Open a watch of the prefix at the key-value store, starting at the revision after this one. */
     record StartWatch(String prefix, long afterRevision) implements WatchAction {}
 
-    /** End the own watch of the prefix; peers tell of it. */
+    /** Close the own watch of the prefix; updates come from peers. */
     record StopWatch(String prefix) implements WatchAction {}
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/watch/WatchSharing.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/watch/WatchSharing.java
@@ -15,79 +15,95 @@
 import org.marjoramswitch.kernel.model.Member;
 
 /**
- * Shares the watches of the platform's key-value service among the instances of a data centre.
+ * Shares the watches of the platform's key-value store among the instances of a data centre.
  *
- * <p>Two instances of a data centre, its readers, watch the service. The first of them passes each change on to the others
- * at once. Both tell them every {@value #BEAT_MS} ms how far they have come, so that one that missed a change, or whose first
- * reader stands still, asks for a copy. Readers tell those of the other data centres too: a reader that the service turns
- * away, or whose connection to it has gone silent, misses nothing that any reader has seen.
+ * <p><b>Algorithm.</b> Two instances per data centre, the watchers, watch the store. The first of them forwards each
+ * change to the other instances immediately. Every {@value #HEARTBEAT_MS} ms both send them a heartbeat with their
+ * positions, so that an instance that missed a change, or whose first watcher is stalled, requests a full copy.
+ * Watchers also send heartbeats to the watchers of the other data centres, so that a watcher that the store rejects, or
+ * whose connection to it has gone silent, misses nothing that any watcher has seen.
  *
- * <p>An instance that hears of no reader that is in touch with the service for {@value #ALONE_AFTER_MS} ms watches by itself
- * until one is heard again. So an outage for some instances, a cut or a crash of both readers costs that time and no more.
+ * <p>An instance that receives no heartbeat from a connected watcher for {@value #STANDALONE_AFTER_MS} ms opens its own
+ * watch until it receives heartbeats again. A partial outage, a partition or a crash of both watchers therefore delays
+ * updates by that time only.
  *
- * <p>Nothing is agreed on: who reads follows from each instance's own view, two views that differ for a moment have one
- * reader more or fewer for it, and what is passed on carries the service's own revisions, so that neither old nor doubled
- * news does harm.
+ * <p><b>Correctness.</b> There is no agreement protocol: each instance derives the watchers from its own view, and
+ * views that differ for a moment only mean one watcher more or fewer. Forwarded changes carry the store's revisions, so
+ * stale and duplicate updates have no effect.
  *
- * <p>Why: the service counts each waiting call. With three prefixes watched by each of 95 instances that were 10 thousand
- * calls in 48 s, a seventh of all that the fleet's users were served.
+ * <p><b>Why.</b> The store counts each waiting call. Three prefixes watched by each of 95 instances are 10 thousand
+ * calls in 48 s, a seventh of all requests served to the fleet's users.
  *
- * <p>Cost: a reader sends each beat to its data centre and to the other readers; a change is sent once to each instance of
- * the data centre. Not thread-safe.
+ * <p><b>Cost.</b> A watcher sends each heartbeat to its data centre and to the other watchers; a change is sent once to
+ * each instance of the data centre. Not thread-safe.
  */
 public final class WatchSharing {
-    /** How often a reader tells how far it has come; with a missed change it is the delay, of a bound of 2 s or more. */
-    private static final long BEAT_MS = 500;
-    /** Three beats: with fewer, a pause of a reader by a collection or a lost packet starts watches that end at once. */
-    private static final long ALONE_AFTER_MS = 1_500;
     /**
-     * A start of all instances together: on the smallest machines it takes seconds until they know one another and the
-     * readers have read. Watches begun meanwhile would each bring all others' entries in the list of instances one by one.
+     * Heartbeat interval of a watcher. A missed change is delayed by this time; the bound on the delay is 2 s or more.
      */
-    private static final long START_MS = 4_000;
-    /** A reader must have been heard for so long before the own watch ends, or the two would alternate. */
-    private static final long HEARD_FOR_MS = 1_000;
-    /** A reader whose watch has brought nothing, not even its usual empty answer every three seconds, is out of touch. */
-    private static final long IN_TOUCH_MS = 4_500;
-    /** A copy is asked for once in this time. */
-    private static final long QUERY_MS = 300;
+    private static final long HEARTBEAT_MS = 500;
+    /**
+     * Three heartbeats: with fewer, a garbage collection pause of a watcher or a lost packet opens watches that are
+     * closed again immediately.
+     */
+    private static final long STANDALONE_AFTER_MS = 1_500;
+    /**
+     * Grace period when all instances start together: on the smallest machines it takes seconds until they know one
+     * another and the watchers have read the store. Watches opened meanwhile would each receive the other instances'
+     * list entries one by one.
+     */
+    private static final long STARTUP_GRACE_MS = 4_000;
+    /** Heartbeats must have arrived for this long before the own watch is closed; prevents oscillation. */
+    private static final long MIN_HEARTBEATS_MS = 1_000;
+    /**
+     * A watcher whose watch has returned nothing for so long, not even the usual empty response every 3 s, is
+     * disconnected.
+     */
+    private static final long CONNECTED_TIMEOUT_MS = 4_500;
+    /** Minimum time between two requests for a copy of a prefix. */
+    private static final long MIN_QUERY_INTERVAL_MS = 300;
 
-    /** A view that is still growing names many instances for a moment; one that is not named for so long does not read. */
-    private static final long SETTLED_MS = 500;
+    /**
+     * A view that is still growing selects many instances as watchers for a moment; an instance watches only after it
+     * has been selected for this long.
+     */
+    private static final long MIN_SELECTED_MS = 500;
 
-    private static final int READERS = 2;
-    /** In a data centre of this size the beats would cost what the watches do; all of its instances read. */
-    private static final int FEW_INSTANCES = 4;
+    private static final int WATCHERS = 2;
+    /**
+     * In a data centre of at most this size heartbeats would cost as much as watches, so all of its instances watch.
+     */
+    private static final int SMALL_DATA_CENTRE = 4;
 
     private final Member self;
     private final Map<String, Followed> followed = new TreeMap<>();
-    /** The readers of this data centre, the first one first. */
-    private List<InstanceId> readers = List.of();
+    /** The watchers of this data centre; the first one forwards changes. */
+    private List<InstanceId> watchers = List.of();
     /** The other instances of this data centre. */
     private List<InstanceId> neighbours = List.of();
-    /** The readers of the other data centres. */
-    private List<InstanceId> farReaders = List.of();
+    /** The watchers of the other data centres. */
+    private List<InstanceId> remoteWatchers = List.of();
 
     private final long startedAtMs;
-    private boolean fewInstances;
-    private long readersSinceMs;
-    private long heardAtMs;
-    private long heardSinceMs;
-    private long nextBeatMs;
+    private boolean everyInstanceWatches;
+    private long watchersSinceMs;
+    private long lastHeartbeatMs;
+    private long heartbeatsSinceMs;
+    private long nextHeartbeatMs;
 
     private WatchSharing(Member self, long nowMs) {
         this.self = self;
         this.startedAtMs = nowMs;
-        // A start waits for readers as if one had just been heard.
-        this.heardAtMs = nowMs;
-        this.heardSinceMs = nowMs;
+        // At start the instance waits for watchers as if it had just received a heartbeat.
+        this.lastHeartbeatMs = nowMs;
+        this.heartbeatsSinceMs = nowMs;
     }
 
     public static WatchSharing create(Member self, long nowMs) {
         return new WatchSharing(self, nowMs);
     }
 
-    /** The instances that are alive, this one among them. */
+    /** Handles a new view of the instances that are alive, this one included. */
     public void onView(FleetView view, long nowMs) {
         Map<String, List<InstanceId>> byDataCentre = new TreeMap<>();
         for (Member member : view.members().values()) {
@@ -99,65 +115,65 @@
         }
         String home = self.dataCentre().name();
         List<InstanceId> near = byDataCentre.getOrDefault(home, List.of());
-        List<InstanceId> former = readers;
-        readers = readers(home, near);
-        if (!readers.equals(former)) {
-            readersSinceMs = nowMs;
-            heardAtMs = nowMs - startedAtMs < START_MS ? nowMs : heardAtMs;
+        List<InstanceId> previous = watchers;
+        watchers = watchers(home, near);
+        if (!watchers.equals(previous)) {
+            watchersSinceMs = nowMs;
+            lastHeartbeatMs = nowMs - startedAtMs < STARTUP_GRACE_MS ? nowMs : lastHeartbeatMs;
         }
-        fewInstances = near.size() <= FEW_INSTANCES;
+        everyInstanceWatches = near.size() <= SMALL_DATA_CENTRE;
         neighbours = near.stream().filter(member -> !member.equals(self.id())).toList();
         byDataCentre.remove(home);
         List<InstanceId> far = new ArrayList<>();
-        byDataCentre.forEach((dataCentre, members) -> far.addAll(readers(dataCentre, members)));
-        farReaders = List.copyOf(far);
+        byDataCentre.forEach((dataCentre, members) -> far.addAll(watchers(dataCentre, members)));
+        remoteWatchers = List.copyOf(far);
     }
 
-    /** The prefix was read whole by this instance, which wants to know of its changes from then on. */
+    /** Starts notifications of changes below a prefix that this instance has read completely at this revision. */
     public void follow(
             String prefix, long revision, List<WatchedEntry> entries, long nowMs, Consumer<WatchAction> sink) {
         Followed known = followed.computeIfAbsent(prefix, Followed::new);
         known.replace(revision, entries, sink);
         known.active = true;
-        known.seenAtMs = nowMs;
-        decide(nowMs, sink);
+        known.lastUpdateMs = nowMs;
+        updateWatches(nowMs, sink);
     }
 
-    /** The own watch of the prefix broke; it is followed again once it was read anew. */
+    /** Handles the end of the own watch of a prefix; no notifications until it is read completely again. */
     public void onWatchClosed(String prefix) {
         Followed known = followed.get(prefix);
         if (known != null) {
             known.active = false;
-            known.reading = false;
+            known.watching = false;
         }
     }
 
-    /** The own watch brought all changes up to a revision, perhaps none. */
+    /** Handles all changes of the own watch up to a revision, perhaps none. */
     public void onWatchUpdate(
             String prefix, long toRevision, List<WatchedEntry> changes, long nowMs, Consumer<WatchAction> sink) {
         Followed known = followed.get(prefix);
         if (known == null || !known.active) {
             return;
         }
-        known.seenAtMs = nowMs;
+        known.lastUpdateMs = nowMs;
         long fromRevision = known.prefix.completeRevision();
-        List<WatchedEntry> news = known.advance(fromRevision, toRevision, changes, sink);
-        boolean first = !readers.isEmpty() && readers.get(0).equals(self.id());
-        if (first && news != null && !news.isEmpty()) {
-            PeerMessage message = new PeerMessage.WatchNews(prefix, fromRevision, toRevision, news);
+        List<WatchedEntry> newChanges = known.advance(fromRevision, toRevision, changes, sink);
+        boolean first = !watchers.isEmpty() && watchers.get(0).equals(self.id());
+        if (first && newChanges != null && !newChanges.isEmpty()) {
+            PeerMessage message = new PeerMessage.WatchNews(prefix, fromRevision, toRevision, newChanges);
             neighbours.forEach(neighbour -> sink.accept(new WatchAction.Send(neighbour, message)));
         }
     }
 
-    /** Takes a peer's message about watches; false for any other. */
+    /** Handles a peer's message about watches; returns false for any other message. */
     public boolean onMessage(InstanceId from, PeerMessage message, long nowMs, Consumer<WatchAction> sink) {
-        if (message instanceof PeerMessage.WatchBeat beat) {
-            heard(from, nowMs);
-            beat.positions().forEach(position -> compare(from, position, nowMs, sink));
+        if (message instanceof PeerMessage.WatchBeat heartbeat) {
+            onHeartbeat(from, nowMs);
+            heartbeat.positions().forEach(position -> compare(from, position, nowMs, sink));
         } else if (message instanceof PeerMessage.WatchNews news) {
-            take(from, news, nowMs, sink);
+            applyChanges(from, news, nowMs, sink);
         } else if (message instanceof PeerMessage.WatchQuery query) {
-            answer(from, query.prefix(), sink);
+            sendCopy(from, query.prefix(), sink);
         } else if (message instanceof PeerMessage.WatchCopy copy) {
             Followed known = followed.get(copy.prefix());
             if (known != null && known.active) {
@@ -169,63 +185,64 @@
         return true;
     }
 
-    /** Some time has passed. */
+    /** Handles the passage of time; must be called at least once per heartbeat interval. */
     public void onTick(long nowMs, Consumer<WatchAction> sink) {
-        decide(nowMs, sink);
-        if (nowMs < nextBeatMs) {
+        updateWatches(nowMs, sink);
+        if (nowMs < nextHeartbeatMs) {
             return;
         }
-        nextBeatMs = nowMs + BEAT_MS;
-        if (!isReader(nowMs) || !isInTouch(nowMs)) {
+        nextHeartbeatMs = nowMs + HEARTBEAT_MS;
+        if (!isWatcher(nowMs) || !isConnected(nowMs)) {
             return;
         }
-        PeerMessage beat = new PeerMessage.WatchBeat(
+        PeerMessage heartbeat = new PeerMessage.WatchBeat(
                 followed.values().stream().map(known -> known.prefix.position()).toList());
-        neighbours.forEach(neighbour -> sink.accept(new WatchAction.Send(neighbour, beat)));
-        farReaders.forEach(reader -> sink.accept(new WatchAction.Send(reader, beat)));
+        neighbours.forEach(neighbour -> sink.accept(new WatchAction.Send(neighbour, heartbeat)));
+        remoteWatchers.forEach(watcher -> sink.accept(new WatchAction.Send(watcher, heartbeat)));
     }
 
-    private static List<InstanceId> readers(String dataCentre, List<InstanceId> members) {
-        return Rendezvous.rank(dataCentre, members).stream().limit(READERS).toList();
+    private static List<InstanceId> watchers(String dataCentre, List<InstanceId> members) {
+        return Rendezvous.rank(dataCentre, members).stream().limit(WATCHERS).toList();
     }
 
-    private boolean isReader(long nowMs) {
-        return !fewInstances && readers.contains(self.id()) && nowMs - readersSinceMs >= SETTLED_MS;
+    private boolean isWatcher(long nowMs) {
+        return !everyInstanceWatches && watchers.contains(self.id()) && nowMs - watchersSinceMs >= MIN_SELECTED_MS;
     }
 
-    private boolean isInTouch(long nowMs) {
+    private boolean isConnected(long nowMs) {
         return !followed.isEmpty()
                 && followed.values().stream()
-                        .allMatch(known -> known.active && known.reading && nowMs - known.seenAtMs <= IN_TOUCH_MS);
+                        .allMatch(known ->
+                                known.active && known.watching && nowMs - known.lastUpdateMs <= CONNECTED_TIMEOUT_MS);
     }
 
-    private void heard(InstanceId from, long nowMs) {
-        if (!readers.contains(from)) {
+    private void onHeartbeat(InstanceId from, long nowMs) {
+        if (!watchers.contains(from)) {
             return;
         }
-        if (nowMs - heardAtMs > ALONE_AFTER_MS) {
-            heardSinceMs = nowMs;
+        if (nowMs - lastHeartbeatMs > STANDALONE_AFTER_MS) {
+            heartbeatsSinceMs = nowMs;
         }
-        heardAtMs = nowMs;
+        lastHeartbeatMs = nowMs;
     }
 
-    private void decide(long nowMs, Consumer<WatchAction> sink) {
-        boolean knowsNobody = neighbours.isEmpty() && nowMs - startedAtMs < START_MS;
-        boolean alone = nowMs - heardAtMs > ALONE_AFTER_MS && !knowsNobody;
-        boolean accompanied = !alone && nowMs - heardSinceMs >= HEARD_FOR_MS;
+    private void updateWatches(long nowMs, Consumer<WatchAction> sink) {
+        boolean isStarting = neighbours.isEmpty() && nowMs - startedAtMs < STARTUP_GRACE_MS;
+        boolean standalone = nowMs - lastHeartbeatMs > STANDALONE_AFTER_MS && !isStarting;
+        boolean hasStableWatcher = !standalone && nowMs - heartbeatsSinceMs >= MIN_HEARTBEATS_MS;
         for (Followed known : followed.values()) {
-            if (known.active && !known.reading && (isReader(nowMs) || alone)) {
-                known.reading = true;
-                known.seenAtMs = nowMs;
+            if (known.active && !known.watching && (isWatcher(nowMs) || standalone)) {
+                known.watching = true;
+                known.lastUpdateMs = nowMs;
                 sink.accept(new WatchAction.StartWatch(known.name, known.prefix.completeRevision()));
-            } else if (known.reading && !isReader(nowMs) && accompanied) {
-                known.reading = false;
+            } else if (known.watching && !isWatcher(nowMs) && hasStableWatcher) {
+                known.watching = false;
                 sink.accept(new WatchAction.StopWatch(known.name));
             }
         }
     }
 
-    /** A reader says how far it has come. */
+    /** Compares a watcher's position with the own one and requests a copy if a change is missing. */
     private void compare(InstanceId from, WatchPosition position, long nowMs, Consumer<WatchAction> sink) {
         Followed known = followed.get(position.prefix());
         if (known == null || !known.active) {
@@ -238,7 +255,7 @@
         known.prefix.advance(known.prefix.completeRevision(), position.completeRevision(), List.of());
     }
 
-    private void take(InstanceId from, PeerMessage.WatchNews news, long nowMs, Consumer<WatchAction> sink) {
+    private void applyChanges(InstanceId from, PeerMessage.WatchNews news, long nowMs, Consumer<WatchAction> sink) {
         Followed known = followed.get(news.prefix());
         if (known == null || !known.active) {
             return;
@@ -252,11 +269,11 @@
         if (nowMs < known.nextQueryMs) {
             return;
         }
-        known.nextQueryMs = nowMs + QUERY_MS;
+        known.nextQueryMs = nowMs + MIN_QUERY_INTERVAL_MS;
         sink.accept(new WatchAction.Send(from, new PeerMessage.WatchQuery(known.name)));
     }
 
-    private void answer(InstanceId from, String prefix, Consumer<WatchAction> sink) {
+    private void sendCopy(InstanceId from, String prefix, Consumer<WatchAction> sink) {
         Followed known = followed.get(prefix);
         if (known != null) {
             sink.accept(new WatchAction.Send(
@@ -264,15 +281,17 @@
         }
     }
 
-    /** One prefix that a duty of this instance follows. */
+    /** The state of one prefix that this instance follows. */
     private static final class Followed {
         private final String name;
         private final WatchedPrefix prefix;
-        /** Whether a duty waits for changes; not between the break of a watch and the next reading of the whole. */
+        /**
+         * Whether a listener expects notifications; false between the end of a watch and the next full read.
+         */
         private boolean active;
 
-        private boolean reading;
-        private long seenAtMs;
+        private boolean watching;
+        private long lastUpdateMs;
         private long nextQueryMs;
 
         private Followed(String name) {
@@ -283,18 +302,18 @@
         @Nullable
         List<WatchedEntry> advance(
                 long fromRevision, long toRevision, List<WatchedEntry> changes, Consumer<WatchAction> sink) {
-            List<WatchedEntry> news = prefix.advance(fromRevision, toRevision, changes);
-            tell(news == null ? List.of() : news, sink);
-            return news;
+            List<WatchedEntry> newChanges = prefix.advance(fromRevision, toRevision, changes);
+            notifyListener(newChanges == null ? List.of() : newChanges, sink);
+            return newChanges;
         }
 
         void replace(long revision, List<WatchedEntry> entries, Consumer<WatchAction> sink) {
-            tell(prefix.replace(revision, entries), sink);
+            notifyListener(prefix.replace(revision, entries), sink);
         }
 
-        private void tell(List<WatchedEntry> news, Consumer<WatchAction> sink) {
+        private void notifyListener(List<WatchedEntry> changes, Consumer<WatchAction> sink) {
             if (active) {
-                news.forEach(change -> sink.accept(new WatchAction.Notify(name, change)));
+                changes.forEach(change -> sink.accept(new WatchAction.Notify(name, change)));
             }
         }
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/watch/WatchedPrefix.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/watch/WatchedPrefix.java
@@ -10,11 +10,11 @@
 import org.marjoramswitch.kernel.message.PeerMessage.WatchedEntry;
 
 /**
- * The entries below one prefix as this instance holds them, and up to which revision that is the whole truth.
+ * The entries below one prefix as this instance knows them, and the revision up to which they are complete.
  *
- * <p>The service numbers all changes by one counter, so two instances can compare what they hold by two numbers: the
- * revision up to which one has heard of everything, and that of the last change it heard of. One whose last change is not
- * newer than what the other has heard of has nothing to tell it.
+ * <p>The key-value store numbers all changes with one counter, so two instances compare their states by two numbers:
+ * the revision up to which an instance knows all changes, and the revision of the last change. An instance whose last
+ * change is not newer than the revision up to which the other is complete has no update for it.
  *
  * <p>Not thread-safe.
  */
@@ -41,50 +41,50 @@
     }
 
     /**
-     * Takes changes of the revisions after {@code fromRevision}, in order.
+     * Applies changes of the revisions after {@code fromRevision}, in order.
      *
-     * @return those that are new here; null where some before them are missing
+     * @return the changes that are new here; null if changes before them are missing
      */
     @Nullable
     List<WatchedEntry> advance(long fromRevision, long toRevision, Collection<WatchedEntry> changes) {
         if (fromRevision > completeRevision) {
             return null;
         }
-        List<WatchedEntry> news = new ArrayList<>();
+        List<WatchedEntry> newChanges = new ArrayList<>();
         for (WatchedEntry change : changes) {
             if (change.revision() > completeRevision) {
                 put(change);
-                news.add(change);
+                newChanges.add(change);
             }
         }
         completeRevision = Math.max(completeRevision, toRevision);
-        return news;
+        return newChanges;
     }
 
-    /** Takes all entries as they were at a revision; returns what differs from those held here, as changes. */
+    /** Replaces all entries by those of a later revision; returns the differences as changes. */
     List<WatchedEntry> replace(long revision, Collection<WatchedEntry> all) {
         if (revision <= completeRevision) {
             return List.of();
         }
         Map<String, WatchedEntry> read = new TreeMap<>();
         all.forEach(entry -> read.put(entry.key(), entry));
-        List<WatchedEntry> news = new ArrayList<>();
-        for (WatchedEntry held : List.copyOf(entries.values())) {
-            if (!read.containsKey(held.key())) {
-                news.add(WatchedEntry.removed(held.key(), revision));
+        List<WatchedEntry> newChanges = new ArrayList<>();
+        for (WatchedEntry known : List.copyOf(entries.values())) {
+            if (!read.containsKey(known.key())) {
+                newChanges.add(WatchedEntry.removed(known.key(), revision));
             }
         }
         for (WatchedEntry entry : read.values()) {
-            WatchedEntry held = entries.get(entry.key());
-            if (held == null || held.revision() != entry.revision()) {
-                news.add(entry);
+            WatchedEntry known = entries.get(entry.key());
+            if (known == null || known.revision() != entry.revision()) {
+                newChanges.add(entry);
             }
         }
-        news.forEach(this::put);
+        newChanges.forEach(this::put);
         completeRevision = revision;
-        // An entry that was written and removed in between leaves no trace, and another instance may still hold it.
+        // An entry that was written and removed in between is not visible here, but another instance may still hold it.
         changedRevision = revision;
-        return news;
+        return newChanges;
     }
 
     private void put(WatchedEntry change) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/watch/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/watch/package-info.java
@@ -1,4 +1,4 @@
-/** Who of the instances watches the platform's key-value service, and how the others hear of what changes there. */
+/** Selects the instances that watch the platform's key-value store and forwards changes to the others. */
 @NullMarked
 package org.marjoramswitch.kernel.watch;
 
--- a/kernel/src/test/java/org/marjoramswitch/kernel/watch/WatchSharingTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/watch/WatchSharingTest.java
@@ -15,31 +15,36 @@
 import org.marjoramswitch.kernel.message.PeerMessage.WatchedEntry;
 import org.marjoramswitch.kernel.model.InstanceId;
 
-/** Every instance hears of every change within the bounds that leaving targets and settings have, at few calls. */
+/**
+ * Every instance receives every change within the bounds for leaving targets and settings, with few calls of the store.
+ */
 class WatchSharingTest {
     private static final int DATA_CENTRES = 5;
     private static final int EACH = 19;
     private static final int ALL = DATA_CENTRES * EACH;
-    /** The shortest time in which a leaving target has to be known everywhere. */
+    /** The tightest bound on the time until a leaving target is known everywhere. */
     private static final long BOUND_MS = 2_000;
 
     private final WatchedFleet fleet = WatchedFleet.of(DATA_CENTRES, EACH);
 
     @Test
-    void twoInstancesOfADataCentreWatchAndAllHearAtOnce() {
+    void twoInstancesPerDataCentreWatchAndAllReceiveChangesImmediately() {
         fleet.run(5_000);
-        assertEquals(2 * DATA_CENTRES, fleet.reading().size());
+        assertEquals(2 * DATA_CENTRES, fleet.watching().size());
         fleet.put("a", "ready");
         fleet.run(20);
-        assertEquals(ALL, fleet.holding("a", "ready").size());
+        assertEquals(ALL, fleet.instancesWith("a", "ready").size());
         fleet.remove("a");
         fleet.run(20);
-        assertEquals(ALL, fleet.holding("a", null).size());
+        assertEquals(ALL, fleet.instancesWith("a", null).size());
     }
 
-    /** The watches of 95 instances wait three seconds each: 95 calls in three seconds before, 10 with readers. */
+    /**
+     * A watch call waits for three seconds: 95 watching instances make 95 calls in that time, two watchers per data
+     * centre only 10.
+     */
     @Test
-    void callsAreThoseOfTheReaders() {
+    void onlyWatchersCallTheStore() {
         fleet.run(5_000);
         long before = fleet.calls();
         fleet.run(30_000);
@@ -47,182 +52,195 @@
     }
 
     /**
-     * Callers see nothing of it. One of the two readers of each data centre stands still, by a collection or a frozen machine;
-     * where it is the one that passes changes on, nobody does, and the other reader's next beat shows that one is missing.
+     * One of the two watchers of each data centre pauses, by a garbage collection or a frozen machine. If it is the one
+     * that forwards changes, the other watcher's next heartbeat shows the instances that a change is missing. Callers
+     * must not be affected.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1})
-    void aReaderThatStandsStillDelaysAChangeByOneBeat(int which) {
+    void aPausedWatcherDelaysAChangeByOneHeartbeat(int pausedIndex) {
         fleet.run(5_000);
         for (int dataCentre = 0; dataCentre < DATA_CENTRES; dataCentre++) {
-            fleet.standsStill(fleet.readingIn("dc-" + dataCentre).get(which));
+            fleet.pause(fleet.watchingIn("dc-" + dataCentre).get(pausedIndex));
         }
         fleet.put("a", "ready");
         fleet.run(BOUND_MS / 2);
-        assertEquals(ALL - DATA_CENTRES, fleet.holding("a", "ready").size());
+        assertEquals(ALL - DATA_CENTRES, fleet.instancesWith("a", "ready").size());
     }
 
     /**
-     * Requests would still be sent to a target that has left. The service turns away both readers of four data centres and
-     * one of the fifth, and serves all others: the remaining reader's beats tell the readers that it serves, which have their
-     * neighbours' ear, and the instances that hear of none watch for themselves.
+     * The store rejects both watchers of four data centres and one of the fifth, and serves all other instances. The
+     * remaining watcher's heartbeats inform the watchers of its own and the other data centres, which are in contact
+     * with their neighbours; instances that receive none open their own watch. Otherwise requests would still be sent
+     * to a target that has left.
      */
     @Test
-    void whatOneReaderHasSeenReachesAllThatTheServiceServes() {
+    void aChangeSeenByOneWatcherReachesAllThatTheStoreServes() {
         fleet.run(5_000);
-        List<InstanceId> away = fleet.reading().subList(0, 2 * DATA_CENTRES - 1);
-        away.forEach(fleet::turnAway);
+        List<InstanceId> rejected = fleet.watching().subList(0, 2 * DATA_CENTRES - 1);
+        rejected.forEach(fleet::reject);
         fleet.run(100);
         fleet.put("a", "ready");
         fleet.run(BOUND_MS);
-        List<InstanceId> deaf = new ArrayList<>(fleet.ids());
-        deaf.removeAll(fleet.holding("a", "ready"));
-        deaf.removeAll(away);
-        assertEquals(List.of(), deaf);
+        List<InstanceId> missing = new ArrayList<>(fleet.ids());
+        missing.removeAll(fleet.instancesWith("a", "ready"));
+        missing.removeAll(rejected);
+        assertEquals(List.of(), missing);
     }
 
     /**
-     * Requests would be sent to a target that has left, and refused by settings that have changed. The service tells no watch
-     * of a change for a second, then drops its history and cuts them all. Only readers had a watch; they read the whole, and
-     * their next beat shows their neighbours that they miss something.
+     * The store reports a change to no watch for a second, then drops its history and closes all watches. Only the
+     * watchers had a watch; they read all entries, and their next heartbeat shows the neighbours that a change is
+     * missing. Otherwise requests would be sent to a target that has left, and rejected under outdated settings.
      */
     @Test
-    void whatALostHistoryHidReachesAllInTime() {
+    void aChangeLostByCompactionReachesAllInTime() {
         fleet.run(5_000);
-        fleet.holdBackNews();
+        fleet.holdBackUpdates();
         fleet.put("a", "ready");
         fleet.run(1_000);
-        assertEquals(0, fleet.holding("a", "ready").size());
-        fleet.loseHistory();
+        assertEquals(0, fleet.instancesWith("a", "ready").size());
+        fleet.compactHistory();
         fleet.run(BOUND_MS - 1_000);
-        assertEquals(ALL, fleet.holding("a", "ready").size());
+        assertEquals(ALL, fleet.instancesWith("a", "ready").size());
     }
 
-    /** All readers crash at once, before any view shows it: after the silence each instance watches for itself. */
+    /**
+     * All watchers crash at the same moment, before any view shows it. After the heartbeat timeout each instance opens
+     * its own watch.
+     */
     @Test
-    void withoutReadersEachInstanceWatchesByItself() {
+    void withoutWatchersEachInstanceOpensItsOwnWatch() {
         fleet.run(5_000);
-        List<InstanceId> readers = fleet.reading();
-        readers.forEach(fleet::standsStill);
+        List<InstanceId> watchers = fleet.watching();
+        watchers.forEach(fleet::pause);
         fleet.put("a", "ready");
         fleet.run(BOUND_MS + 500);
-        assertEquals(ALL - readers.size(), fleet.holding("a", "ready").size());
+        assertEquals(ALL - watchers.size(), fleet.instancesWith("a", "ready").size());
     }
 
-    /** Readers that are gone from the views are followed by others, and those that watched meanwhile stop. */
+    /**
+     * Watchers that are removed from the views are replaced by others, and instances that watched in the meantime stop.
+     */
     @Test
-    void otherInstancesBecomeReaders() {
+    void otherInstancesReplaceRemovedWatchers() {
         fleet.run(5_000);
-        List<InstanceId> readers = fleet.reading();
-        readers.forEach(fleet::gone);
+        List<InstanceId> watchers = fleet.watching();
+        watchers.forEach(fleet::removeFromViews);
         fleet.run(6_000);
-        List<InstanceId> living = new ArrayList<>(fleet.reading());
-        living.removeAll(readers);
+        List<InstanceId> living = new ArrayList<>(fleet.watching());
+        living.removeAll(watchers);
         assertEquals(2 * DATA_CENTRES, living.size());
     }
 
-    /** A message is lost with its link; the next beat shows it, and the whole is asked for. */
+    /**
+     * A message is lost with its link; the next heartbeat shows the loss, and a copy is requested.
+     */
     @Test
-    void aLostMessageIsMadeUpFor() {
+    void aLostMessageIsRecoveredByACopy() {
         fleet.run(5_000);
-        fleet.ids().forEach(fleet::loseNextTo);
+        fleet.ids().forEach(fleet::dropNextMessageTo);
         fleet.put("a", "ready");
         fleet.run(BOUND_MS);
-        assertEquals(ALL, fleet.holding("a", "ready").size());
+        assertEquals(ALL, fleet.instancesWith("a", "ready").size());
     }
 
     /**
-     * All instances start together on slow machines and need three seconds to know one another, while each one's entry in the
-     * list of instances is written. With watches of their own from 1.5 s on, and of each that a growing view names a reader for a
-     * moment, they made 3,049 calls in these seconds; now it is 685, of which 95 read the whole.
+     * All instances start together on slow machines and need three seconds to know one another, while the list entry of
+     * each one is written. Without the startup grace, with own watches from 1.5 s on and with a watch by each instance
+     * that a growing view selects as watcher for a moment, they make 3,049 calls in these seconds; with it 685, of
+     * which 95 are full reads.
      */
     @Test
-    void aStartOfAllBeginsFewWatches() {
+    void aSimultaneousStartOpensFewWatches() {
         WatchedFleet starting = WatchedFleet.starting(DATA_CENTRES, EACH, 3_000);
         starting.run(6_000);
-        assertEquals(2 * DATA_CENTRES, starting.reading().size());
+        assertEquals(2 * DATA_CENTRES, starting.watching().size());
         assertTrue(starting.calls() < 8L * ALL, starting.calls() + " calls");
         for (InstanceId id : starting.ids()) {
-            assertEquals(ALL, starting.holding(id.name(), "live").size());
+            assertEquals(ALL, starting.instancesWith(id.name(), "live").size());
         }
     }
 
-    /** In a small fleet each instance watches: the beats would cost what the watches do. */
+    /**
+     * In a small fleet each instance watches, since heartbeats would cost as much as watches.
+     */
     @Test
-    void aFewInstancesWatchEachByThemselves() {
+    void allInstancesOfASmallFleetWatch() {
         WatchedFleet small = WatchedFleet.of(3, 3);
         small.run(3_000);
-        assertEquals(9, small.reading().size());
+        assertEquals(9, small.watching().size());
         small.put("a", "ready");
         small.run(20);
-        assertEquals(9, small.holding("a", "ready").size());
+        assertEquals(9, small.instancesWith("a", "ready").size());
     }
 
     /**
-     * Whatever happens to readers and messages, and in whatever order, in the end all that live hold the same. Instances are
-     * turned away and served again, messages get lost, entries come, change and go.
+     * Instances are rejected and accepted again, messages are lost, entries are added, changed and removed, in random
+     * order. In the end all live instances hold the same entries.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-    void allHoldTheSameInTheEnd(long seed) {
+    void allInstancesConverge(long seed) {
         Random random = new Random(seed);
         List<InstanceId> ids = fleet.ids();
         for (int i = 0; i < 200; i++) {
             InstanceId one = ids.get(random.nextInt(ids.size()));
-            List<InstanceId> reading = fleet.reading();
-            InstanceId reader = reading.isEmpty() ? one : reading.get(random.nextInt(reading.size()));
+            List<InstanceId> watching = fleet.watching();
+            InstanceId watcher = watching.isEmpty() ? one : watching.get(random.nextInt(watching.size()));
             switch (random.nextInt(7)) {
                 case 0 -> fleet.put("k" + random.nextInt(5), "v" + i);
                 case 1 -> fleet.remove("k" + random.nextInt(5));
-                case 2 -> fleet.turnAway(random.nextBoolean() ? one : reader);
-                case 3 -> ids.forEach(fleet::serveAgain);
-                case 4 -> fleet.loseNextTo(one);
-                case 5 -> ids.forEach(fleet::loseNextTo);
+                case 2 -> fleet.reject(random.nextBoolean() ? one : watcher);
+                case 3 -> ids.forEach(fleet::accept);
+                case 4 -> fleet.dropNextMessageTo(one);
+                case 5 -> ids.forEach(fleet::dropNextMessageTo);
                 default -> fleet.run(random.nextInt(1_500));
             }
         }
-        ids.forEach(fleet::serveAgain);
+        ids.forEach(fleet::accept);
         for (int i = 0; i < 5; i++) {
             fleet.put("k" + i, "last");
         }
         fleet.remove("k4");
         fleet.run(6_000);
         for (int i = 0; i < 4; i++) {
-            assertEquals(ALL, fleet.holding("k" + i, "last").size(), "k" + i);
+            assertEquals(ALL, fleet.instancesWith("k" + i, "last").size(), "k" + i);
         }
-        assertEquals(ALL, fleet.holding("k4", null).size());
+        assertEquals(ALL, fleet.instancesWith("k4", null).size());
     }
 
     /**
-     * Requests would go to targets that have left, and settings stay old: the service has come back from a copy that is some
-     * seconds old, perhaps twice, while a reader stands still or is turned away. What was written since is gone and is written
-     * again in another order. Two seconds after the last change all that are served hold what the service holds.
+     * The store is restored from a copy some seconds old, perhaps twice, while an instance is paused or rejected.
+     * Changes since the copy are lost and written again in another order. Two seconds after the last change every
+     * instance that the store serves must hold the store's entries; otherwise requests would go to targets that have
+     * left, and settings would stay outdated.
      */
     @ParameterizedTest
     @MethodSource("seeds")
-    void afterAnOlderCopyAllHoldWhatTheServiceHolds(long seed) {
+    void allInstancesMatchTheStoreAfterARestore(long seed) {
         Random random = new Random(seed);
-        WatchedFleet drilled = WatchedFleet.of(1 + random.nextInt(3), 2 + random.nextInt(9));
-        drilled.run(5_000);
-        change(drilled, random, 5);
-        InstanceId disturbed = drilled.ids().get(random.nextInt(drilled.ids().size()));
-        for (int drill = 0; drill <= random.nextInt(2); drill++) {
-            Map<String, WatchedEntry> copy = drilled.copy();
-            change(drilled, random, 12);
+        WatchedFleet restored = WatchedFleet.of(1 + random.nextInt(3), 2 + random.nextInt(9));
+        restored.run(5_000);
+        change(restored, random, 5);
+        InstanceId disturbed = restored.ids().get(random.nextInt(restored.ids().size()));
+        for (int round = 0; round <= random.nextInt(2); round++) {
+            Map<String, WatchedEntry> snapshot = restored.snapshot();
+            change(restored, random, 12);
             if (random.nextBoolean()) {
-                drilled.standsStill(disturbed);
+                restored.pause(disturbed);
             } else {
-                drilled.turnAway(disturbed);
+                restored.reject(disturbed);
             }
-            drilled.run(random.nextInt(2_000));
-            drilled.comeBackFrom(copy, random);
-            change(drilled, random, random.nextInt(6));
-            drilled.wakes(disturbed);
-            drilled.serveAgain(disturbed);
+            restored.run(random.nextInt(2_000));
+            restored.restoreFrom(snapshot, random);
+            change(restored, random, random.nextInt(6));
+            restored.resume(disturbed);
+            restored.accept(disturbed);
         }
-        drilled.put("last", "ready");
-        drilled.run(BOUND_MS);
-        assertEquals(List.of(), drilled.astray(), "seed " + seed);
+        restored.put("last", "ready");
+        restored.run(BOUND_MS);
+        assertEquals(List.of(), restored.outOfSync(), "seed " + seed);
     }
 
     static LongStream seeds() {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/watch/WatchedFleet.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/watch/WatchedFleet.java
@@ -18,14 +18,15 @@
 import org.marjoramswitch.kernel.model.Member;
 
 /**
- * Instances that share the watches of one prefix, and the service that they watch, in virtual time: a watch waits for three
- * seconds at most, calls and messages take milliseconds, a message to an instance that stands still or is gone is lost.
+ * Simulates in virtual time instances that share the watches of one prefix, and the key-value store that they watch. A
+ * watch waits for at most three seconds, calls and messages take milliseconds, and a message to an instance that is
+ * paused or removed is lost.
  */
 final class WatchedFleet {
     static final String PREFIX = "servers/";
-    private static final long WAY_MS = 2;
+    private static final long LATENCY_MS = 2;
     private static final long TICK_MS = 500;
-    private static final long WAIT_MS = 3_000;
+    private static final long WATCH_TIMEOUT_MS = 3_000;
     private static final long REVISIONS_PER_ERA = 1_000_000;
 
     private final PriorityQueue<Due> due =
@@ -33,10 +34,10 @@
     private final Map<InstanceId, Instance> instances = new TreeMap<>();
     private final List<WatchedEntry> changes = new ArrayList<>();
     private final Map<String, WatchedEntry> entries = new TreeMap<>();
-    private final Set<InstanceId> still = new HashSet<>();
-    private final Set<InstanceId> turnedAway = new HashSet<>();
-    private final Set<InstanceId> loseNext = new HashSet<>();
-    private boolean holdingBack;
+    private final Set<InstanceId> paused = new HashSet<>();
+    private final Set<InstanceId> rejected = new HashSet<>();
+    private final Set<InstanceId> dropNext = new HashSet<>();
+    private boolean updatesHeldBack;
     private long revision = 1;
     private long nowMs;
     private long order;
@@ -55,15 +56,15 @@
             Instance instance = fleet.new Instance(member);
             fleet.instances.put(member.id(), instance);
             instance.sharing.onView(FleetView.of(members), 0);
-            instance.readWhole();
+            instance.readAll();
             fleet.at(instance.number() % TICK_MS, instance::tick);
         }
         return fleet;
     }
 
     /**
-     * All start together and know only themselves; each learns of a few more at a time until, after {@code knownMs}, it knows
-     * all. Each writes an entry of its own meanwhile.
+     * Creates instances that start together and know only themselves. Each one's view grows by a few instances at a
+     * time until, after {@code knownMs}, it is complete. Meanwhile each writes an entry of its own.
      */
     static WatchedFleet starting(int dataCentres, int instancesEach, long knownMs) {
         WatchedFleet fleet = of(dataCentres, instancesEach);
@@ -85,80 +86,80 @@
         return fleet;
     }
 
-    /** An instance leaves the views of all others. */
-    void gone(InstanceId gone) {
-        still.add(gone);
+    /** Stops an instance and removes it from the views of all others. */
+    void removeFromViews(InstanceId removed) {
+        paused.add(removed);
         List<Member> left = instances.values().stream()
                 .map(instance -> instance.member)
-                .filter(member -> !still.contains(member.id()))
+                .filter(member -> !paused.contains(member.id()))
                 .toList();
         instances.values().forEach(instance -> instance.sharing.onView(FleetView.of(left), nowMs));
     }
 
-    void standsStill(InstanceId instance) {
-        still.add(instance);
+    void pause(InstanceId instance) {
+        paused.add(instance);
     }
 
-    void turnAway(InstanceId instance) {
-        turnedAway.add(instance);
+    void reject(InstanceId instance) {
+        rejected.add(instance);
     }
 
-    void serveAgain(InstanceId instance) {
-        turnedAway.remove(instance);
+    void accept(InstanceId instance) {
+        rejected.remove(instance);
     }
 
-    /** From now on no watch hears of a change, until the history is lost. */
-    void holdBackNews() {
-        holdingBack = true;
+    /** Withholds changes from all watches until the history is compacted. */
+    void holdBackUpdates() {
+        updatesHeldBack = true;
     }
 
-    /** The service drops its history and cuts the watches, whose owners read the whole. */
-    void loseHistory() {
-        holdingBack = false;
+    /** The store drops its history and closes the watches, whose owners read all entries again. */
+    void compactHistory() {
+        updatesHeldBack = false;
         changes.clear();
-        instances.values().stream().filter(instance -> instance.reading).forEach(Instance::cut);
+        instances.values().stream().filter(instance -> instance.watching).forEach(Instance::closeWatch);
     }
 
-    /** The service's entries as they are now. */
-    Map<String, WatchedEntry> copy() {
+    /** Returns the store's current entries. */
+    Map<String, WatchedEntry> snapshot() {
         return Map.copyOf(entries);
     }
 
     /**
-     * The service comes back from an older copy, as its adapter tells it: entries as they were then, revisions of a later
-     * era. Most watches are cut at once; one between two calls hears of it with its next.
+     * Restores the store from an older snapshot, as the store's adapter presents it: entries as they were then, with
+     * revisions of a later era. Most watches are closed immediately; one between two calls is closed by its next call.
      */
-    void comeBackFrom(Map<String, WatchedEntry> copy, Random random) {
+    void restoreFrom(Map<String, WatchedEntry> snapshot, Random random) {
         revision = (revision / REVISIONS_PER_ERA + 1) * REVISIONS_PER_ERA + random.nextInt(100);
         changes.clear();
         entries.clear();
-        copy.forEach((key, entry) ->
+        snapshot.forEach((key, entry) ->
                 entries.put(key, new WatchedEntry(key, entry.value(), entry.createRevision(), revision)));
         instances.values().stream()
-                .filter(instance -> instance.reading)
-                .forEach(instance -> at(nowMs + random.nextInt(100), instance::cutIfReading));
+                .filter(instance -> instance.watching)
+                .forEach(instance -> at(nowMs + random.nextInt(100), instance::closeIfWatching));
     }
 
-    /** What the service holds, by key without the prefix. */
+    /** Returns the store's values by key. */
     Map<String, String> values() {
         Map<String, String> values = new TreeMap<>();
         entries.forEach((key, entry) -> values.put(key, String.valueOf(entry.value())));
         return values;
     }
 
-    /** The instances that hold anything else than the service does. */
-    List<InstanceId> astray() {
+    /** Returns the instances whose entries differ from the store's. */
+    List<InstanceId> outOfSync() {
         Map<String, String> held = values();
-        return ids().stream().filter(id -> !instance(id).told.equals(held)).toList();
+        return ids().stream().filter(id -> !instance(id).known.equals(held)).toList();
     }
 
-    /** The next message to the instance is lost on its way. */
-    void loseNextTo(InstanceId instance) {
-        loseNext.add(instance);
+    /** Loses the next message to the instance. */
+    void dropNextMessageTo(InstanceId instance) {
+        dropNext.add(instance);
     }
 
-    void wakes(InstanceId instance) {
-        still.remove(instance);
+    void resume(InstanceId instance) {
+        paused.remove(instance);
     }
 
     void put(String key, String value) {
@@ -171,8 +172,8 @@
         changed(WatchedEntry.removed(PREFIX + key, revision));
     }
 
-    void run(long forMs) {
-        long untilMs = nowMs + forMs;
+    void run(long durationMs) {
+        long untilMs = nowMs + durationMs;
         while (!due.isEmpty() && due.peek().atMs() <= untilMs) {
             Due next = due.poll();
             nowMs = next.atMs();
@@ -189,22 +190,22 @@
         return List.copyOf(instances.keySet());
     }
 
-    /** Those that watch the service now. */
-    List<InstanceId> reading() {
-        return ids().stream().filter(id -> instance(id).reading).toList();
+    /** Returns the instances that watch the store now. */
+    List<InstanceId> watching() {
+        return ids().stream().filter(id -> instance(id).watching).toList();
     }
 
-    List<InstanceId> readingIn(String dataCentre) {
-        return reading().stream()
+    List<InstanceId> watchingIn(String dataCentre) {
+        return watching().stream()
                 .filter(id -> instance(id).member.dataCentre().name().equals(dataCentre))
                 .toList();
     }
 
-    /** The instances in whose entries the key has the value; null for those without the entry. */
-    List<InstanceId> holding(String key, @Nullable String value) {
+    /** Returns the instances whose entries have this value for the key; null selects those without the entry. */
+    List<InstanceId> instancesWith(String key, @Nullable String value) {
         return ids().stream()
                 .filter(id -> {
-                    String held = instance(id).told.get(PREFIX + key);
+                    String held = instance(id).known.get(PREFIX + key);
                     return value == null ? held == null : value.equals(held);
                 })
                 .toList();
@@ -225,21 +226,21 @@
         } else {
             entries.put(change.key(), change);
         }
-        instances.values().forEach(instance -> at(nowMs + WAY_MS, instance::answerIfChanged));
+        instances.values().forEach(instance -> at(nowMs + LATENCY_MS, instance::respondIfChanged));
     }
 
     private void at(long atMs, Runnable task) {
         due.add(new Due(atMs, order++, task));
     }
 
-    /** One instance: its sharing, what its duty was told, and its waiting watch. */
+    /** One instance: its watch sharing, the entries that its listener knows, and its pending watch call. */
     private final class Instance {
         private final Member member;
         private final WatchSharing sharing;
-        private final Map<String, String> told = new TreeMap<>();
-        private boolean reading;
+        private final Map<String, String> known = new TreeMap<>();
+        private boolean watching;
         private long afterRevision;
-        private long askedAtMs;
+        private long calledAtMs;
 
         private Instance(Member member) {
             this.member = member;
@@ -250,19 +251,19 @@
             return Long.parseLong(member.id().name().substring(1)) * 37;
         }
 
-        private void readWhole() {
-            if (turnedAway.contains(member.id())) {
-                at(nowMs + 250, this::readWhole);
+        private void readAll() {
+            if (rejected.contains(member.id())) {
+                at(nowMs + 250, this::readAll);
                 return;
             }
             calls++;
-            told.clear();
-            entries.values().forEach(entry -> told.put(entry.key(), entry.value()));
+            known.clear();
+            entries.values().forEach(entry -> known.put(entry.key(), entry.value()));
             sharing.follow(PREFIX, revision, List.copyOf(entries.values()), nowMs, this::perform);
         }
 
         private void tick() {
-            if (!still.contains(member.id())) {
+            if (!paused.contains(member.id())) {
                 sharing.onTick(nowMs, this::perform);
             }
             at(nowMs + TICK_MS, this::tick);
@@ -270,78 +271,80 @@
 
         private void perform(WatchAction action) {
             if (action instanceof WatchAction.Send send) {
-                at(nowMs + WAY_MS, () -> instance(send.to()).receive(member.id(), send.message()));
+                at(nowMs + LATENCY_MS, () -> instance(send.to()).receive(member.id(), send.message()));
             } else if (action instanceof WatchAction.Notify notification) {
-                take(notification.change());
+                apply(notification.change());
             } else if (action instanceof WatchAction.StartWatch start) {
-                reading = true;
-                ask(start.afterRevision());
+                watching = true;
+                callWatch(start.afterRevision());
             } else {
-                reading = false;
+                watching = false;
             }
         }
 
-        private void take(WatchedEntry change) {
+        private void apply(WatchedEntry change) {
             if (change.value() == null) {
-                told.remove(change.key());
+                known.remove(change.key());
             } else {
-                told.put(change.key(), change.value());
+                known.put(change.key(), change.value());
             }
         }
 
         private void receive(InstanceId from, PeerMessage message) {
-            if (!still.contains(member.id()) && !loseNext.remove(member.id())) {
+            if (!paused.contains(member.id()) && !dropNext.remove(member.id())) {
                 sharing.onMessage(from, message, nowMs, this::perform);
             }
         }
 
-        private void ask(long after) {
+        private void callWatch(long after) {
             calls++;
             afterRevision = after;
-            askedAtMs = nowMs;
-            at(nowMs + WAY_MS, this::answerIfChanged);
-            at(nowMs + WAIT_MS, () -> answerWhenOver(after));
+            calledAtMs = nowMs;
+            at(nowMs + LATENCY_MS, this::respondIfChanged);
+            at(nowMs + WATCH_TIMEOUT_MS, () -> respondOnTimeout(after));
         }
 
-        private void cutIfReading() {
-            if (reading) {
-                cut();
+        private void closeIfWatching() {
+            if (watching) {
+                closeWatch();
             }
         }
 
-        /** The watch is broken; where the service answers, the whole is read at once. */
-        private void cut() {
-            reading = false;
+        /** Closes the watch; all entries are read again as soon as the store accepts the call. */
+        private void closeWatch() {
+            watching = false;
             sharing.onWatchClosed(PREFIX);
-            at(nowMs + WAY_MS, this::readWhole);
+            at(nowMs + LATENCY_MS, this::readAll);
         }
 
-        private void answerIfChanged() {
-            if (reading && !holdingBack && changes.stream().anyMatch(change -> change.revision() > afterRevision)) {
-                answer();
+        private void respondIfChanged() {
+            if (watching
+                    && !updatesHeldBack
+                    && changes.stream().anyMatch(change -> change.revision() > afterRevision)) {
+                respond();
             }
         }
 
-        private void answerWhenOver(long after) {
-            if (reading && !holdingBack && after == afterRevision && nowMs - askedAtMs >= WAIT_MS) {
-                answer();
+        private void respondOnTimeout(long after) {
+            if (watching && !updatesHeldBack && after == afterRevision && nowMs - calledAtMs >= WATCH_TIMEOUT_MS) {
+                respond();
             }
         }
 
-        private void answer() {
-            if (still.contains(member.id())) {
+        private void respond() {
+            if (paused.contains(member.id())) {
                 return;
             }
             boolean otherEra = afterRevision / REVISIONS_PER_ERA != revision / REVISIONS_PER_ERA;
-            if (turnedAway.contains(member.id()) || otherEra) {
-                cut();
+            if (rejected.contains(member.id()) || otherEra) {
+                closeWatch();
                 return;
             }
-            List<WatchedEntry> news = changes.stream()
+            List<WatchedEntry> newChanges = changes.stream()
                     .filter(change -> change.revision() > afterRevision)
                     .toList();
-            sharing.onWatchUpdate(PREFIX, revision, news, nowMs, this::perform);
-            ask(revision);
+            sharing.onWatchUpdate(PREFIX, revision, newChanges, nowMs, this::perform);
+            callWatch(revision);
         }
     }
 }
