--- a/kernel/src/main/java/org/marjoramswitch/kernel/wire/DatagramCodec.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/wire/DatagramCodec.java
@@ -19,22 +19,23 @@
 import org.marjoramswitch.kernel.model.Member;
 
 /**
- * Datagrams of the failure detector: a truncated HMAC-SHA256 under the fleet key, then one MessagePack array.
+ * Codec of the failure detector's datagrams: a truncated HMAC-SHA256 under the fleet key, followed by one MessagePack
+ * array.
  *
- * <p>The code keeps strangers and other fleets out. A recorded datagram can be played again and does no harm: the order
- * of incarnations and revisions makes old news void, and a false suspicion is cleared by its subject.
+ * <p>The authentication code rejects datagrams of other senders and fleets. A replayed datagram has no effect: the
+ * order of incarnations and revisions makes outdated updates void, and the suspected member refutes a false suspicion.
  *
- * <p>A datagram of an unknown purpose still tells who lives, so it decodes to {@link Datagram.Unknown}. Fields may be
- * appended with a default. Not safe for several threads.
+ * <p>A datagram of an unknown type still carries the sender and updates, so it decodes to {@link Datagram.Unknown}.
+ * Fields may be appended with a default. Not thread-safe.
  */
 public final class DatagramCodec {
-    /** No datagram is larger, so that none is split on its way. */
+    /** Maximum size of a datagram, small enough that none is fragmented in transit. */
     public static final int MAX_BYTES = 1_200;
 
-    static final int CODE_BYTES = 8;
+    static final int MAC_BYTES = 8;
 
     private static final String ALGORITHM = "HmacSHA256";
-    /** Keeps a code made here from passing for any other use of the fleet key. */
+    /** Domain separation: a code computed here is not valid for any other use of the fleet key. */
     private static final byte[] DOMAIN = "marjoramswitch-membership".getBytes(StandardCharsets.UTF_8);
 
     private static final int PING = 1;
@@ -47,8 +48,8 @@
     private static final int SUSPECT = 2;
     private static final int LEFT = 4;
 
-    private static final int WHOLE_FIELDS = 9;
-    private static final int ACCUSATION_FIELDS = 4;
+    private static final int FULL_UPDATE_FIELDS = 9;
+    private static final int STATUS_ONLY_FIELDS = 4;
     private static final Map<MemberStatus, Integer> STATUS_FLAGS = Map.of(
             MemberStatus.ALIVE, 0, MemberStatus.SUSPECT, SUSPECT, MemberStatus.DEAD, SUSPECT, MemberStatus.LEFT, LEFT);
 
@@ -69,55 +70,54 @@
         }
     }
 
-    /** The datagram's bytes; where they are more than {@link #MAX_BYTES} the receiver will not take them. */
+    /** Encodes a datagram; the receiver rejects a result of more than {@link #MAX_BYTES} bytes. */
     public byte[] encode(Datagram datagram) {
-        return authenticated(payload(datagram));
+        return withMac(payload(datagram));
     }
 
-    /** The payload with its authentication code in front. */
-    byte[] authenticated(byte[] payload) {
-        byte[] code = code(payload, 0, payload.length);
+    /** Prepends the authentication code to the payload. */
+    byte[] withMac(byte[] payload) {
+        byte[] code = authenticationCode(payload, 0, payload.length);
         byte[] bytes = Arrays.copyOf(code, code.length + payload.length);
         System.arraycopy(payload, 0, bytes, code.length, payload.length);
         return bytes;
     }
 
-    /** Reads the first {@code lengthBytes} of a buffer. */
+    /** Decodes the first {@code lengthBytes} bytes of a buffer. */
     public DatagramResult decode(byte[] bytes, int lengthBytes) {
         if (lengthBytes > MAX_BYTES) {
             return new DatagramResult.Malformed(WireFault.TOO_LARGE);
         }
-        if (lengthBytes <= CODE_BYTES) {
+        if (lengthBytes <= MAC_BYTES) {
             return new DatagramResult.Malformed(WireFault.TRUNCATED);
         }
-        int payloadBytes = lengthBytes - CODE_BYTES;
-        byte[] code = Arrays.copyOf(bytes, CODE_BYTES);
-        if (!MessageDigest.isEqual(code, code(bytes, CODE_BYTES, payloadBytes))) {
+        int payloadBytes = lengthBytes - MAC_BYTES;
+        byte[] code = Arrays.copyOf(bytes, MAC_BYTES);
+        if (!MessageDigest.isEqual(code, authenticationCode(bytes, MAC_BYTES, payloadBytes))) {
             return new DatagramResult.Malformed(WireFault.UNAUTHENTICATED);
         }
         try {
-            FieldReader in = FieldReader.of(bytes, CODE_BYTES, payloadBytes);
+            FieldReader in = FieldReader.of(bytes, MAC_BYTES, payloadBytes);
             return new DatagramResult.Decoded(FieldReader.guarded(() -> read(in)));
         } catch (WireException e) {
             return new DatagramResult.Malformed(e.fault());
         }
     }
 
-    private byte[] code(byte[] bytes, int offset, int lengthBytes) {
+    private byte[] authenticationCode(byte[] bytes, int offset, int lengthBytes) {
         mac.update(DOMAIN);
         mac.update(bytes, offset, lengthBytes);
-        return Arrays.copyOf(mac.doFinal(), CODE_BYTES);
+        return Arrays.copyOf(mac.doFinal(), MAC_BYTES);
     }
 
-    // Array: purpose, sender's id, incarnation, revision, flags, data centre, generation, updates, those of the
-    // purpose,
+    // Array: type, sender's id, incarnation, revision, flags, data centre, generation, updates, the fields of the type,
     // the sender's processor.
 
     private byte[] payload(Datagram datagram) {
         Datagram.Sender sender = datagram.sender();
         int flags = (sender.leaving() ? LEAVING : 0) | (sender.left() ? LEFT : 0);
         out.begin()
-                .field(purpose(datagram.body()))
+                .field(bodyType(datagram.body()))
                 .text(sender.id().name())
                 .field(sender.incarnation())
                 .field(sender.revision())
@@ -134,7 +134,7 @@
 
     private void put(MemberUpdate update) {
         int flags = (update.leaving() ? LEAVING : 0) | STATUS_FLAGS.getOrDefault(update.status(), SUSPECT);
-        out.item(update.hasDetails() ? WHOLE_FIELDS : ACCUSATION_FIELDS)
+        out.item(update.hasDetails() ? FULL_UPDATE_FIELDS : STATUS_ONLY_FIELDS)
                 .put(update.id().name())
                 .put(update.incarnation())
                 .put(update.revision())
@@ -149,7 +149,7 @@
                 .put(update.processorMillicores());
     }
 
-    private static int purpose(Datagram.Body body) {
+    private static int bodyType(Datagram.Body body) {
         if (body instanceof Datagram.Ping) {
             return PING;
         }
@@ -182,7 +182,7 @@
 
     private static Datagram read(FieldReader in) throws IOException {
         in.enter();
-        int purpose = in.intField();
+        int bodyType = in.intField();
         InstanceId id = InstanceId.of(in.text());
         long incarnation = in.field();
         long revision = in.field();
@@ -190,16 +190,16 @@
         DataCentreId dataCentre = DataCentreId.of(in.text());
         long generation = in.field(0);
         List<MemberUpdate> updates = readUpdates(in);
-        Datagram.Body body = readBody(in, purpose);
-        // The fields of an unknown purpose cannot be told from the processor's.
+        Datagram.Body body = readBody(in, bodyType);
+        // The fields of an unknown type cannot be distinguished from the processor field.
         boolean isUnknown = body instanceof Datagram.Unknown;
         int processorMillicores = isUnknown ? Member.UNKNOWN_PROCESSOR : in.intField(Member.UNKNOWN_PROCESSOR);
         Datagram.Sender sender = new Datagram.Sender(
                 id,
                 incarnation,
                 revision,
-                has(flags, LEAVING),
-                has(flags, LEFT),
+                hasFlag(flags, LEAVING),
+                hasFlag(flags, LEFT),
                 dataCentre,
                 generation,
                 processorMillicores);
@@ -222,10 +222,10 @@
         long incarnation = in.field();
         long revision = in.field();
         int flags = in.intField();
-        boolean leaving = has(flags, LEAVING);
+        boolean leaving = hasFlag(flags, LEAVING);
         if (!in.hasField()) {
-            // An update without a place can only be an accusation; as news of a living member it would be incomplete.
-            MemberStatus status = has(flags, LEFT) ? MemberStatus.LEFT : MemberStatus.SUSPECT;
+            // Without details the status cannot be ALIVE, since an update of a living member carries its address.
+            MemberStatus status = hasFlag(flags, LEFT) ? MemberStatus.LEFT : MemberStatus.SUSPECT;
             return MemberUpdate.statusOnly(id, incarnation, revision, status, leaving);
         }
         DataCentreId dataCentre = DataCentreId.of(in.text());
@@ -242,8 +242,8 @@
                 in.intField(Member.UNKNOWN_PROCESSOR));
     }
 
-    private static Datagram.Body readBody(FieldReader in, int purpose) throws IOException {
-        return switch (purpose) {
+    private static Datagram.Body readBody(FieldReader in, int bodyType) throws IOException {
+        return switch (bodyType) {
             case PING -> new Datagram.Ping(in.field());
             case ACK -> new Datagram.Ack(in.field());
             case PING_REQUEST -> new Datagram.PingRequest(in.field(), readAddress(in));
@@ -271,7 +271,7 @@
         return digests;
     }
 
-    private static boolean has(int flags, int flag) {
+    private static boolean hasFlag(int flags, int flag) {
         return (flags & flag) != 0;
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/wire/DatagramResult.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/wire/DatagramResult.java
@@ -2,10 +2,10 @@
 
 import org.marjoramswitch.kernel.membership.Datagram;
 
-/** How decoding a datagram ended. */
+/** The result of decoding a datagram. */
 public sealed interface DatagramResult {
     record Decoded(Datagram datagram) implements DatagramResult {}
 
-    /** The datagram is to be dropped. */
+    /** The datagram is invalid and must be dropped. */
     record Malformed(WireFault fault) implements DatagramResult {}
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/wire/FieldReader.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/wire/FieldReader.java
@@ -8,8 +8,8 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Reads arrays of fields: a field that is missing at the end gets its default, fields beyond the known ones are
- * skipped. Lengths are compared with the bytes that are left before anything is allocated.
+ * Reads arrays of fields. A missing trailing field gets its default, and fields beyond the known ones are skipped.
+ * Lengths are checked against the remaining bytes before anything is allocated.
  */
 final class FieldReader {
     private final MessageUnpacker unpacker;
@@ -25,7 +25,7 @@
         return new FieldReader(MessagePack.newDefaultUnpacker(bytes, offset, lengthBytes), lengthBytes);
     }
 
-    /** Runs one reading step and turns every way in which it can fail into a {@link WireException}. */
+    /** Runs one reading step and converts each of its failures to a {@link WireException}. */
     static <T> T guarded(Step<T> step) throws WireException {
         try {
             return step.run();
@@ -42,7 +42,7 @@
         return bytesLeft() > 0;
     }
 
-    /** Enters an array of fields; returns what {@link #leave} needs. */
+    /** Enters an array of fields; returns the argument for {@link #leave}. */
     int enter() throws IOException {
         int outer = fieldsLeft;
         fieldsLeft = unpacker.unpackArrayHeader();
@@ -52,7 +52,7 @@
         return outer;
     }
 
-    /** Skips the fields of the array that this version does not know. */
+    /** Leaves an array, skipping the fields that this version does not know. */
     void leave(int outer) throws IOException {
         while (fieldsLeft > 0) {
             fieldsLeft--;
@@ -66,39 +66,39 @@
     }
 
     long field() throws IOException {
-        take();
+        consumeField();
         return unpacker.unpackLong();
     }
 
-    long field(long whenMissing) throws IOException {
-        return hasField() ? field() : whenMissing;
+    long field(long defaultValue) throws IOException {
+        return hasField() ? field() : defaultValue;
     }
 
     int intField() throws IOException {
         return toInt(field());
     }
 
-    int intField(int whenMissing) throws IOException {
-        return toInt(field(whenMissing));
+    int intField(int defaultValue) throws IOException {
+        return toInt(field(defaultValue));
     }
 
     String text() throws IOException {
-        take();
+        consumeField();
         return readText(WireLimits.MAX_NAME_BYTES);
     }
 
-    /** A text that may be as long as the frame. */
+    /** Reads a text whose length is limited only by the frame. */
     String longText() throws IOException {
-        take();
+        consumeField();
         return readText(WireLimits.MAX_FRAME_BYTES);
     }
 
-    /** Enters a field that is a list; an absent one is empty. The items are read by the item methods. */
+    /** Enters a list field and returns its number of items, 0 if it is absent. The item methods read the items. */
     int list() throws IOException {
         if (!hasField()) {
             return 0;
         }
-        take();
+        consumeField();
         int items = unpacker.unpackArrayHeader();
         if (items > WireLimits.MAX_LIST_ITEMS) {
             throw new WireException(WireFault.TOO_LARGE);
@@ -109,7 +109,7 @@
         return items;
     }
 
-    /** Enters a field that is a list of pairs; returns how many pairs there are. */
+    /** Enters a list field of pairs; returns the number of pairs. */
     int pairs() throws IOException {
         int items = list();
         if (items % 2 != 0) {
@@ -118,7 +118,7 @@
         return items / 2;
     }
 
-    /** One item of a list that is a text, as long as the bytes allow. */
+    /** Reads a list item that is a text of at most {@code maxBytes} bytes. */
     String itemText(int maxBytes) throws IOException {
         return readText(maxBytes);
     }
@@ -142,7 +142,7 @@
         return new String(unpacker.readPayload(lengthBytes), StandardCharsets.UTF_8);
     }
 
-    private void take() throws WireException {
+    private void consumeField() throws WireException {
         if (fieldsLeft <= 0) {
             throw new WireException(WireFault.FIELD_MISSING);
         }
@@ -160,7 +160,7 @@
         return (int) value;
     }
 
-    /** One reading step. */
+    /** One reading step; see {@link #guarded}. */
     interface Step<T> {
         T run() throws IOException;
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/wire/FieldWriter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/wire/FieldWriter.java
@@ -7,8 +7,8 @@
 import org.msgpack.core.MessagePack;
 
 /**
- * Writes one MessagePack array of at most 15 fields, of which trailing ones that have their default are left out. The
- * array's header is the first byte and is filled in at the end, when the number of fields is known.
+ * Writes one MessagePack array of at most 15 fields and omits trailing fields that have their default. The array's
+ * header is the first byte and is filled in at the end, when the number of fields is known.
  */
 final class FieldWriter {
     static final int MAX_FIELDS = 15;
@@ -22,8 +22,8 @@
             .newBufferPacker();
     private long startBytes;
     private int fields;
-    private int keptFields;
-    private int keptBytes;
+    private int requiredFields;
+    private int requiredBytes;
 
     /** Starts a new array. */
     FieldWriter begin() {
@@ -31,39 +31,39 @@
         startBytes = packer.getTotalWrittenBytes();
         putArray(0);
         fields = 0;
-        keptFields = 0;
-        keptBytes = 1;
+        requiredFields = 0;
+        requiredBytes = 1;
         return this;
     }
 
-    /** A field that is always written. */
+    /** Writes a field that is never omitted. */
     FieldWriter field(long value) {
         putLong(value);
-        return keep();
+        return requireField();
     }
 
-    /** A field that is left out where it and all after it have their defaults. */
-    FieldWriter field(long value, long whenMissing) {
+    /** Writes a field that is omitted if it and all fields after it have their defaults. */
+    FieldWriter field(long value, long defaultValue) {
         putLong(value);
-        if (value == whenMissing) {
+        if (value == defaultValue) {
             fields++;
             return this;
         }
-        return keep();
+        return requireField();
     }
 
     FieldWriter text(String text) {
         putText(text);
-        return keep();
+        return requireField();
     }
 
-    /** A field that holds {@code items} items, which follow by the put methods. */
+    /** Starts a list field of {@code items} items, which the put methods write. */
     FieldWriter list(int items) {
         putArray(items);
-        return keep();
+        return requireField();
     }
 
-    /** Puts an array of fields into the list that is being written. */
+    /** Starts an item of the current list that is an array of fields. */
     FieldWriter item(int itemFields) {
         putArray(itemFields);
         return this;
@@ -79,9 +79,9 @@
         return this;
     }
 
-    /** Marks what was put since the last field as part of it. */
+    /** Ends a list field: the values put since its start become part of it. */
     FieldWriter endList() {
-        keptBytes = writtenBytes();
+        requiredBytes = writtenBytes();
         return this;
     }
 
@@ -109,17 +109,17 @@
         }
     }
 
-    /** The array's bytes. */
+    /** Returns the array's bytes. */
     byte[] end() {
-        byte[] bytes = Arrays.copyOf(packer.toByteArray(), keptBytes);
-        bytes[0] = (byte) (FIXED_ARRAY | keptFields);
+        byte[] bytes = Arrays.copyOf(packer.toByteArray(), requiredBytes);
+        bytes[0] = (byte) (FIXED_ARRAY | requiredFields);
         return bytes;
     }
 
-    private FieldWriter keep() {
+    private FieldWriter requireField() {
         fields++;
-        keptFields = fields;
-        keptBytes = writtenBytes();
+        requiredFields = fields;
+        requiredBytes = writtenBytes();
         return this;
     }
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/wire/FrameCodec.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/wire/FrameCodec.java
@@ -3,18 +3,18 @@
 import java.nio.ByteBuffer;
 
 /**
- * Frames on a TCP link: the number of payload bytes as a MessagePack unsigned integer (1 byte below 128, 2 below 256, 3
- * below 65,536, else 5), then the payload.
+ * Codec of the frames on a TCP link: the payload size as a MessagePack unsigned integer (1 byte for a payload below 128
+ * bytes, 2 below 256, 3 below 65,536, otherwise 5), followed by the payload.
  */
 public final class FrameCodec {
-    /** The bytes that a frame adds to a payload of usual size (below 128 bytes). */
+    /** Bytes that a frame adds to a payload of usual size (below 128 bytes). */
     public static final int USUAL_OVERHEAD_BYTES = 1;
-    /** The most bytes that a frame adds to its payload. */
+    /** Maximum bytes that a frame adds to its payload. */
     public static final int MAX_OVERHEAD_BYTES = 5;
 
-    /** The result of {@link #payloadBytes} where the prefix is not complete yet. */
+    /** The result of {@link #payloadBytes} if the prefix is not complete yet. */
     public static final int INCOMPLETE = -1;
-    /** The result of {@link #payloadBytes} where the prefix is not a length or above the bound. */
+    /** The result of {@link #payloadBytes} if the prefix is not a length or exceeds the limit. */
     public static final int INVALID = -2;
 
     private static final int MAX_SINGLE_BYTE = 0x7f;
@@ -24,7 +24,7 @@
 
     private FrameCodec() {}
 
-    /** The bytes that a frame adds to a payload of this size. */
+    /** Returns the bytes that a frame adds to a payload of this size. */
     public static int overheadBytes(int payloadBytes) {
         if (payloadBytes <= MAX_SINGLE_BYTE) {
             return 1;
@@ -46,7 +46,7 @@
     }
 
     /**
-     * Reads a prefix at the buffer's position and moves past it; where it is incomplete the position stays.
+     * Reads a prefix and advances the buffer's position past it; the position stays if the prefix is incomplete.
      *
      * @return the payload's size in bytes, {@link #INCOMPLETE} or {@link #INVALID}
      */
--- a/kernel/src/main/java/org/marjoramswitch/kernel/wire/LinkDecoder.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/wire/LinkDecoder.java
@@ -7,9 +7,9 @@
 import org.marjoramswitch.kernel.message.PeerMessage;
 
 /**
- * Decodes what a peer's {@link LinkEncoder} wrote. Messages of unknown types are skipped and counted, unknown trailing
- * fields are ignored and missing ones get their defaults, so that two versions understand each other while instances
- * are replaced one by one. Whatever the bytes are, decoding ends with a typed result. Not safe for several threads.
+ * Decodes the output of a peer's {@link LinkEncoder}. Messages of unknown types are skipped and counted, unknown
+ * trailing fields are ignored, and missing ones get their defaults, so that two versions interoperate during a rolling
+ * upgrade. Any input ends in a typed result. Not thread-safe.
  */
 public final class LinkDecoder {
     private final MessageReader reader = new MessageReader();
@@ -26,7 +26,7 @@
         return decode(bytes, 0, bytes.length);
     }
 
-    /** Decodes the messages of one frame that lies in a part of {@code bytes}. */
+    /** Decodes the messages of one frame in a range of {@code bytes}. */
     public DecodeResult decode(byte[] bytes, int offset, int lengthBytes) {
         if (lengthBytes > WireLimits.MAX_FRAME_BYTES) {
             return new DecodeResult.Malformed(WireFault.TOO_LARGE);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/wire/MessageCodec.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/wire/MessageCodec.java
@@ -56,16 +56,16 @@
 import org.marjoramswitch.kernel.model.TargetId;
 
 /**
- * The fields of each message and their order.
+ * Defines the fields of each message and their order.
  *
- * <p>Fields whose usual value can be guessed come last and are not written when they have it: a plain demand for one
- * more request is a type, a cell and a customer. A field may be appended to a message later, with a default; it must
- * use neither names of a new kind nor the number bases of earlier fields, since an older peer skips it.
+ * <p>Fields with a common value come last and are omitted if they have it: a plain demand for one more request consists
+ * of a type, a cell and a customer. A field may be appended to a message later, with a default. It must use neither
+ * names of a new kind nor the delta bases of earlier fields, since an older peer skips it.
  */
 final class MessageCodec {
-    private static final int USUAL_ADDED = 1;
-    private static final int USUAL_SEQUENCE_STEP = 1;
-    /** The position in a list is the reason's or state's number on the wire. */
+    private static final int DEFAULT_ADDED = 1;
+    private static final int DEFAULT_SEQUENCE_STEP = 1;
+    /** The index in this and the following lists is the constant's number on the wire. */
     private static final List<DeclineReason> DECLINE_REASONS = List.of(
             DeclineReason.NOTHING_WAITING,
             DeclineReason.NOT_THE_ARBITER,
@@ -143,7 +143,7 @@
                 MessageType.WITNESS_REPLY,
                 WitnessReply.class,
                 (out, message) -> out.number(message.queryId()).number(WITNESS_STATES.indexOf(message.state())),
-                in -> new WitnessReply(in.number(), at(WITNESS_STATES, in.number(), WitnessState.CANNOT_TELL)));
+                in -> new WitnessReply(in.number(), valueAt(WITNESS_STATES, in.number(), WitnessState.CANNOT_TELL)));
         put(
                 MessageType.SETTINGS_HEAD,
                 SettingsHead.class,
@@ -205,7 +205,10 @@
                         .number(message.outputTokens())
                         .number(PLACEMENT_ENDS.indexOf(message.end()), 0),
                 in -> new PlacementEnded(
-                        in.cell(), in.number(), in.number(), at(PLACEMENT_ENDS, in.number(0), PlacementEnd.GIVEN_UP)));
+                        in.cell(),
+                        in.number(),
+                        in.number(),
+                        valueAt(PLACEMENT_ENDS, in.number(0), PlacementEnd.GIVEN_UP)));
         put(
                 MessageType.PLACEMENTS_HELD,
                 PlacementsHeld.class,
@@ -275,7 +278,7 @@
         codec(type).write(out, message);
     }
 
-    /** The message, or null where a value in it belongs to a newer version and has no safe default. */
+    /** Reads a message; returns null if a value in it is of a newer version and has no safe default. */
     static @Nullable PeerMessage read(MessageReader in, MessageType type) throws IOException {
         return codec(type).reader.read(in);
     }
@@ -313,13 +316,13 @@
     private static void writeDemand(MessageWriter out, Demand message) {
         out.cell(message.cell())
                 .customer(message.customer())
-                .number(message.added(), USUAL_ADDED)
+                .number(message.added(), DEFAULT_ADDED)
                 .number(message.urgency(), RequestSpec.DEFAULT_URGENCY);
     }
 
     private static Demand readDemand(MessageReader in) throws IOException {
         return new Demand(
-                in.cell(), in.customer(), in.intNumber(USUAL_ADDED), in.intNumber(RequestSpec.DEFAULT_URGENCY));
+                in.cell(), in.customer(), in.intNumber(DEFAULT_ADDED), in.intNumber(RequestSpec.DEFAULT_URGENCY));
     }
 
     private static void writeGrant(MessageWriter out, Grant message) {
@@ -327,7 +330,7 @@
                 .customer(message.customer())
                 .target(message.target())
                 .number(message.aheadTokens())
-                .sequence(message.sequence(), USUAL_SEQUENCE_STEP);
+                .sequence(message.sequence(), DEFAULT_SEQUENCE_STEP);
     }
 
     private static Grant readGrant(MessageReader in) throws IOException {
@@ -335,7 +338,7 @@
         var customer = in.customer();
         var target = in.target();
         long aheadTokens = in.number();
-        return new Grant(cell, in.sequence(USUAL_SEQUENCE_STEP), customer, target, aheadTokens);
+        return new Grant(cell, in.sequence(DEFAULT_SEQUENCE_STEP), customer, target, aheadTokens);
     }
 
     private static void writeDecline(MessageWriter out, Decline message) {
@@ -343,9 +346,9 @@
     }
 
     private static Decline readDecline(MessageReader in) throws IOException {
-        // A reason of a newer version still gives the slot back; the reason itself only feeds logs.
+        // An unknown reason of a newer version still releases the slot; the reason itself is only used in logs.
         return new Decline(
-                in.cell(), in.sequence(), at(DECLINE_REASONS, in.intNumber(0), DeclineReason.NOTHING_WAITING));
+                in.cell(), in.sequence(), valueAt(DECLINE_REASONS, in.intNumber(0), DeclineReason.NOTHING_WAITING));
     }
 
     private static void writeEnded(MessageWriter out, Ended message) {
@@ -468,8 +471,8 @@
         return new KeyReply(queryId, KEY_STATES.get((int) state));
     }
 
-    private static <E> E at(List<E> values, long index, E otherwise) {
-        return index >= 0 && index < values.size() ? values.get((int) index) : otherwise;
+    private static <E> E valueAt(List<E> values, long index, E defaultValue) {
+        return index >= 0 && index < values.size() ? values.get((int) index) : defaultValue;
     }
 
     private static <M extends PeerMessage> void put(
--- a/kernel/src/main/java/org/marjoramswitch/kernel/wire/MessageReader.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/wire/MessageReader.java
@@ -12,21 +12,21 @@
 import org.marjoramswitch.kernel.model.PoolId;
 import org.marjoramswitch.kernel.model.TargetId;
 
-/** The receiving end's state of a link and the fields of the message being read; mirrors {@link MessageWriter}. */
+/** The receiving side's state of a link and the fields of the message being read; mirrors {@link MessageWriter}. */
 final class MessageReader {
     private final ReceivedNames<CustomerId> customers = new ReceivedNames<>(NameKind.CUSTOMER);
     private final ReceivedNames<TargetId> targets = new ReceivedNames<>(NameKind.TARGET);
     private final ReceivedNames<PoolId> pools = new ReceivedNames<>(NameKind.POOL);
     private final ReceivedNames<CellId> cells = new ReceivedNames<>(NameKind.CELL);
-    private final List<NumberBases> basesByCell = new ArrayList<>();
-    private NumberBases bases = new NumberBases();
+    private final List<DeltaBases> basesByCell = new ArrayList<>();
+    private DeltaBases bases = new DeltaBases();
     private FieldReader fields = FieldReader.of(new byte[0], 0, 0);
 
     void begin(FieldReader fields) {
         this.fields = fields;
     }
 
-    /** Takes in the definition of a name; one of a kind that this version does not know is ignored. */
+    /** Reads a name definition; a kind of name that this version does not know is ignored. */
     void define() throws IOException {
         long kind = fields.field();
         int id = fields.intField();
@@ -45,7 +45,7 @@
         int id = fields.intField();
         CellId cell = cells.get(id);
         while (id >= basesByCell.size()) {
-            basesByCell.add(new NumberBases());
+            basesByCell.add(new DeltaBases());
         }
         bases = basesByCell.get(id);
         return cell;
@@ -64,34 +64,34 @@
     }
 
     long sequence() throws IOException {
-        return bases.sequenceAt(fields.field());
+        return bases.applySequenceDelta(fields.field());
     }
 
-    long sequence(long whenMissing) throws IOException {
-        return bases.sequenceAt(fields.field(whenMissing));
+    long sequence(long defaultValue) throws IOException {
+        return bases.applySequenceDelta(fields.field(defaultValue));
     }
 
     long number() throws IOException {
         return fields.field();
     }
 
-    long number(long whenMissing) throws IOException {
-        return fields.field(whenMissing);
+    long number(long defaultValue) throws IOException {
+        return fields.field(defaultValue);
     }
 
     int intNumber() throws IOException {
         return fields.intField();
     }
 
-    int intNumber(int whenMissing) throws IOException {
-        return fields.intField(whenMissing);
+    int intNumber(int defaultValue) throws IOException {
+        return fields.intField(defaultValue);
     }
 
     String text() throws IOException {
         return fields.text();
     }
 
-    /** A text that may be as long as the frame. */
+    /** Reads a text whose length is limited only by the frame. */
     String longText() throws IOException {
         return fields.longText();
     }
@@ -123,12 +123,12 @@
         for (int i = 0; i < items; i++) {
             int id = fields.itemInt();
             CustomerId customer = customers.get(id);
-            chargedTokens.put(customer, bases.chargedAt(id, fields.itemLong()));
+            chargedTokens.put(customer, bases.applyChargedDelta(id, fields.itemLong()));
         }
         return chargedTokens;
     }
 
-    /** The names of one kind by the ids that the sender gave them. */
+    /** The names of one kind by the ids that the sender assigned. */
     private static final class ReceivedNames<T> {
         private final List<@Nullable T> nameById = new ArrayList<>();
         private final int maxNames;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/wire/MessageType.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/wire/MessageType.java
@@ -8,7 +8,7 @@
 import org.jspecify.annotations.Nullable;
 import org.marjoramswitch.kernel.message.PeerMessage;
 
-/** The number of each message on the wire; a number is never used for a second meaning. */
+/** The types of messages and their numbers on the wire. A number is never reused for another meaning. */
 public enum MessageType {
     REGISTER(1, PeerMessage.Register.class),
     UNREGISTER(2, PeerMessage.Unregister.class),
@@ -56,7 +56,7 @@
         this.messageClass = messageClass;
     }
 
-    /** The type of a message. */
+    /** Returns the type of a message. */
     public static MessageType of(PeerMessage message) {
         MessageType type = BY_CLASS.get(message.getClass());
         if (type == null) {
@@ -65,12 +65,12 @@
         return type;
     }
 
-    /** The type with this number, null where a newer peer knows more types than we do. */
+    /** Returns the type with this number, or null if only a newer version knows it. */
     static @Nullable MessageType byNumber(long number) {
         return BY_NUMBER.get((int) Math.min(number, Integer.MAX_VALUE));
     }
 
-    /** The type's name in metrics and logs. */
+    /** Returns the type's name in metrics and logs. */
     public String metricName() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/wire/MessageWriter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/wire/MessageWriter.java
@@ -12,7 +12,7 @@
 import org.marjoramswitch.kernel.model.PoolId;
 import org.marjoramswitch.kernel.model.TargetId;
 
-/** The sending end's state of a link and the fields of the message being written. Not safe for several threads. */
+/** The sending side's state of a link and the fields of the message being written. Not thread-safe. */
 final class MessageWriter {
     private final FieldWriter fields = new FieldWriter();
     private final FieldWriter definition = new FieldWriter();
@@ -21,8 +21,8 @@
     private final SentNames<TargetId> targets = new SentNames<>(NameKind.TARGET);
     private final SentNames<PoolId> pools = new SentNames<>(NameKind.POOL);
     private final SentNames<CellId> cells = new SentNames<>(NameKind.CELL);
-    private final List<NumberBases> basesByCell = new ArrayList<>();
-    private NumberBases bases = new NumberBases();
+    private final List<DeltaBases> basesByCell = new ArrayList<>();
+    private DeltaBases bases = new DeltaBases();
 
     MessageWriter begin(MessageType type) {
         definitions.reset();
@@ -30,7 +30,7 @@
         return this;
     }
 
-    /** The definitions of names that the message uses for the first time, then the message. */
+    /** Returns the message's bytes, preceded by the definitions of names that it uses for the first time. */
     byte[] end() {
         byte[] message = fields.end();
         if (definitions.size() == 0) {
@@ -40,11 +40,11 @@
         return definitions.toByteArray();
     }
 
-    /** The message's cell; sequences and charges that follow are relative to it. */
+    /** Writes the message's cell; the sequences and charges that follow are delta-encoded for this cell. */
     MessageWriter cell(CellId cell) {
         int id = idOf(cell);
         while (id >= basesByCell.size()) {
-            basesByCell.add(new NumberBases());
+            basesByCell.add(new DeltaBases());
         }
         bases = basesByCell.get(id);
         fields.field(id);
@@ -67,13 +67,13 @@
     }
 
     MessageWriter sequence(long sequence) {
-        fields.field(bases.sequenceDifference(sequence));
+        fields.field(bases.sequenceDelta(sequence));
         return this;
     }
 
-    /** A sequence of which the difference {@code whenMissing} need not be written. */
-    MessageWriter sequence(long sequence, long whenMissing) {
-        fields.field(bases.sequenceDifference(sequence), whenMissing);
+    /** Writes a sequence; a trailing delta that equals {@code defaultValue} is omitted. */
+    MessageWriter sequence(long sequence, long defaultValue) {
+        fields.field(bases.sequenceDelta(sequence), defaultValue);
         return this;
     }
 
@@ -82,8 +82,8 @@
         return this;
     }
 
-    MessageWriter number(long value, long whenMissing) {
-        fields.field(value, whenMissing);
+    MessageWriter number(long value, long defaultValue) {
+        fields.field(value, defaultValue);
         return this;
     }
 
@@ -92,7 +92,7 @@
         return this;
     }
 
-    /** A list of texts, two for each entry. */
+    /** Writes a list of texts, two for each entry. */
     MessageWriter texts(Map<String, String> entries) {
         fields.list(entries.size() * 2);
         entries.forEach((key, value) -> {
@@ -103,7 +103,7 @@
         return this;
     }
 
-    /** A list of which {@code item} puts each item by {@link #item} and the put methods. */
+    /** Writes a list; {@code item} writes each item with {@link #item} and the put methods. */
     <T> MessageWriter list(List<T> items, Consumer<T> item) {
         fields.list(items.size());
         items.forEach(item);
@@ -111,13 +111,13 @@
         return this;
     }
 
-    /** Running totals by customer, as differences to the ones last sent for the cell. */
+    /** Writes running totals by customer, as deltas to those last sent for the cell. */
     MessageWriter charges(Map<CustomerId, Long> chargedTokens) {
         fields.list(chargedTokens.size() * 2);
         chargedTokens.forEach((customer, tokens) -> {
             int id = idOf(customer);
             fields.putLong(id);
-            fields.putLong(bases.chargedDifference(id, tokens));
+            fields.putLong(bases.chargedDelta(id, tokens));
         });
         fields.endList();
         return this;
@@ -173,7 +173,7 @@
                 .field(id);
     }
 
-    /** The ids that one kind of names has on the link; when all are in use the oldest is given to the new name. */
+    /** The ids of one kind of names on the link; if all are in use, a new name replaces the oldest. */
     private final class SentNames<T> {
         private final Map<T, Integer> idByName = new HashMap<>();
         private final List<T> nameById = new ArrayList<>();
--- a/kernel/src/main/java/org/marjoramswitch/kernel/wire/NameKind.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/wire/NameKind.java
@@ -1,6 +1,6 @@
 package org.marjoramswitch.kernel.wire;
 
-/** The kinds of names that a link numbers, each in a table of its own so that ids stay small. */
+/** The kinds of names that are numbered on a link, each in its own table so that ids stay small. */
 enum NameKind {
     CUSTOMER(0, WireLimits.MAX_LINK_NAMES),
     TARGET(1, WireLimits.MAX_LINK_NAMES),
@@ -15,7 +15,7 @@
         this.maxNames = maxNames;
     }
 
-    /** The most names of the kind that have an id on one link at a time. */
+    /** Maximum number of names of this kind that have an id on one link at a time. */
     int maxNames() {
         return maxNames;
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/wire/WireFault.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/wire/WireFault.java
@@ -6,11 +6,11 @@
     TRUNCATED,
     /** A value is of another type than its field, or out of the field's range. */
     WRONG_TYPE,
-    /** A field that has no default is missing. */
+    /** A required field is missing. */
     FIELD_MISSING,
-    /** An id that the sender never defined on this link. */
+    /** The sender never defined the id on this link. */
     UNKNOWN_ID,
-    /** A text, list, frame or datagram is larger than its bound. */
+    /** A text, list, frame or datagram exceeds its limit. */
     TOO_LARGE,
     /** The authentication code does not match. */
     UNAUTHENTICATED
--- a/kernel/src/main/java/org/marjoramswitch/kernel/wire/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/wire/package-info.java
@@ -1,4 +1,4 @@
-/** The MessagePack encoding of what instances say to one another: messages on links, frames and datagrams. */
+/** MessagePack encoding of the messages between instances: link messages, frames and datagrams. */
 @NullMarked
 package org.marjoramswitch.kernel.wire;
 
--- a/kernel/src/test/java/org/marjoramswitch/kernel/wire/DatagramCodecTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/wire/DatagramCodecTest.java
@@ -30,7 +30,7 @@
     private final DatagramCodec codec = DatagramCodec.create("key");
 
     @Test
-    void everyPurposeComesThrough() {
+    void decodesWhatItEncodesForEveryType() {
         List<Datagram.Body> bodies = List.of(
                 new Datagram.Ping(1),
                 new Datagram.Ack(1L << 40),
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void anUnknownPurposeStillTellsWhoLives() {
+    void anUnknownTypeStillCarriesItsSender() {
         FieldWriter fields = new FieldWriter();
         fields.begin()
                 .field(99)
@@ -56,37 +56,37 @@
                 .text("dc")
                 .field(3);
         fields.list(0).field(1).text("more");
-        DatagramResult result = decode(withCode(fields.end()));
+        DatagramResult result = decode(withMac(fields.end()));
         Datagram.Sender sender = new Datagram.Sender(ID, 1, 2, false, false, DataCentreId.of("dc"), 3, 0);
         assertEquals(new DatagramResult.Decoded(new Datagram(sender, new Datagram.Unknown(), List.of())), result);
     }
 
     @Test
-    void anotherKeyOrAChangedByteIsRefused() {
+    void rejectsAnotherKeyAndChangedBytes() {
         byte[] bytes = codec.encode(new Datagram(SENDER, new Datagram.Ping(1), List.of()));
-        DatagramResult.Malformed refused = new DatagramResult.Malformed(WireFault.UNAUTHENTICATED);
-        assertEquals(refused, DatagramCodec.create("another").decode(bytes, bytes.length));
+        DatagramResult.Malformed unauthenticated = new DatagramResult.Malformed(WireFault.UNAUTHENTICATED);
+        assertEquals(unauthenticated, DatagramCodec.create("another").decode(bytes, bytes.length));
         for (int i = 0; i < bytes.length; i++) {
             byte[] changed = bytes.clone();
             changed[i] ^= 1;
-            assertEquals(refused, decode(changed));
+            assertEquals(unauthenticated, decode(changed));
         }
         assertEquals(new DatagramResult.Malformed(WireFault.TOO_LARGE), decode(new byte[DatagramCodec.MAX_BYTES + 1]));
         assertEquals(new DatagramResult.Malformed(WireFault.TRUNCATED), decode(new byte[3]));
     }
 
     @Property(tries = 1_000, seed = "31")
-    void authenticatedNonsenseEndsInATypedResult(@ForAll @Size(max = 200) byte[] payload) {
-        DatagramResult result = decode(withCode(payload));
+    void authenticatedRandomBytesEndInATypedResult(@ForAll @Size(max = 200) byte[] payload) {
+        DatagramResult result = decode(withMac(payload));
         assertTrue(result instanceof DatagramResult.Decoded || result instanceof DatagramResult.Malformed);
     }
 
     @Property(tries = 500, seed = "32")
-    void aCutDatagramEndsInATypedResult(@ForAll int cut) {
-        byte[] whole = codec.encode(new Datagram(SENDER, new Datagram.Compare(List.of(1, 2)), UPDATES));
-        byte[] payload = Arrays.copyOfRange(whole, DatagramCodec.CODE_BYTES, whole.length);
+    void aTruncatedDatagramEndsInATypedResult(@ForAll int cut) {
+        byte[] complete = codec.encode(new Datagram(SENDER, new Datagram.Compare(List.of(1, 2)), UPDATES));
+        byte[] payload = Arrays.copyOfRange(complete, DatagramCodec.MAC_BYTES, complete.length);
         byte[] part = Arrays.copyOf(payload, Math.floorMod(cut, payload.length));
-        DatagramResult result = decode(withCode(part));
+        DatagramResult result = decode(withMac(part));
         assertTrue(result instanceof DatagramResult.Malformed);
     }
 
@@ -94,7 +94,7 @@
         return codec.decode(bytes, bytes.length);
     }
 
-    private byte[] withCode(byte[] payload) {
-        return codec.authenticated(payload);
+    private byte[] withMac(byte[] payload) {
+        return codec.withMac(payload);
     }
 }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/wire/LinkCodecTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/wire/LinkCodecTest.java
@@ -31,7 +31,7 @@
     private final LinkDecoder decoder = LinkDecoder.create();
 
     @Property(tries = 200, seed = "11")
-    void whatIsEncodedIsDecoded(@ForAll long seed, @ForAll @IntRange(min = 1, max = 20) int perFrame) {
+    void decodesWhatIsEncoded(@ForAll long seed, @ForAll @IntRange(min = 1, max = 20) int perFrame) {
         RandomMessages messages = new RandomMessages(seed);
         LinkEncoder sender = LinkEncoder.create();
         LinkDecoder receiver = LinkDecoder.create();
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void messagesOfARequestTakeFewBytesOnceNamesAreKnown() {
+    void messagesTakeFewBytesOnceNamesAreDefined() {
         long sequence = 5_000_000_000L;
         encoder.encode(new PeerMessage.Grant(CELL, sequence, CUSTOMER, TARGET, 0));
         encoder.encode(new PeerMessage.Ended(CELL, sequence, 1, false));
@@ -84,10 +84,10 @@
     }
 
     @Test
-    void anUnknownTypeIsSkippedAndCountedAndNamesStayRight() {
-        // A newer peer sends a type that we don't know, with a name used for the first time in it. The name's
-        // definition stands before the message, so it is taken in although the message is skipped, and the
-        // following demand is counted for the right customer.
+    void anUnknownTypeIsSkippedAndCountedButItsDefinitionsApply() {
+        // A newer peer sends a message of an unknown type that uses a name for the first time. The name's definition
+        // precedes the message, so it applies although the message is skipped; otherwise the following demand would be
+        // attributed to the wrong customer.
         byte[] demand = encoder.encode(new PeerMessage.Demand(CELL, CUSTOMER, 1, 3));
         byte[] unknown = {(byte) 0x93, 99, 0, 0};
         byte[] known = encoder.encode(new PeerMessage.Demand(CELL, CUSTOMER, 2, 3));
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void anUnknownStateOfAKeyIsSkippedAndAnUnknownReasonStillGivesTheSlotBack() {
+    void anUnknownKeyStateIsSkippedAndAnUnknownDeclineReasonStillReleasesTheSlot() {
         byte[] names = encoder.encode(new PeerMessage.Unregister(CELL));
         byte[] reply = {(byte) 0x93, 12, 1, 99};
         byte[] decline = {(byte) 0x94, 5, 0, 7, 99};
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void lengthsBeyondTheFrameAreRefusedBeforeAnythingIsAllocated() {
+    void lengthsBeyondTheFrameAreRejectedBeforeAnythingIsAllocated() {
         byte[] hugeArray = {(byte) 0xdd, 0x7f, -1, -1, -1};
         byte[] hugeText = {(byte) 0x94, 0, 0, 0, (byte) 0xdb, 0x7f, -1, -1, -1};
 
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void whenAllIdsAreInUseTheOldestIsGivenToTheNewName() {
+    void whenAllIdsAreInUseANewNameReplacesTheOldest() {
         int names = WireLimits.MAX_LINK_NAMES + 10;
         for (int i = 0; i < names; i++) {
             assertDecodes(new PeerMessage.Demand(CELL, CustomerId.of("c" + i), 1, 3));
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void framePrefixesGiveTheLengthBackAndAreBounded() {
+    void framePrefixesRoundTripAndAreBounded() {
         for (int payloadBytes : new int[] {0, 1, 127, 128, 255, 256, 65_535, 65_536, 1 << 20}) {
             ByteBuffer buffer = ByteBuffer.allocate(8);
             FrameCodec.putPrefix(buffer, payloadBytes);
--- a/kernel/src/test/java/org/marjoramswitch/kernel/wire/RandomMessages.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/wire/RandomMessages.java
@@ -13,7 +13,7 @@
 import org.marjoramswitch.kernel.model.PromptPart;
 import org.marjoramswitch.kernel.model.TargetId;
 
-/** Random messages of every type, with names from a small set and numbers that are often extreme. */
+/** Generates random messages of every type, with names from a small set and often extreme numbers. */
 final class RandomMessages {
     private final Random random;
 
