--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/FailureDetector.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/FailureDetector.java
@@ -109,7 +109,7 @@
         return new FailureDetector(self, options, seed);
     }
 
-    /** Handles the passage of time; must be called several times per direct timeout. */
+    /** Handles the passage of time; must be called several times per probe timeout. */
     public List<MembershipAction> onTick(long nowMs) {
         if (!started) {
             start(nowMs);
--- a/kernel/src/test/java/org/marjoramswitch/kernel/watch/WatchSharingTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/watch/WatchSharingTest.java
@@ -70,9 +70,8 @@
 
     /**
      * The store rejects both watchers of four data centres and one of the fifth, and serves all other instances. The
-     * remaining watcher's heartbeats inform the watchers of its own and the other data centres, which are in contact
-     * with their neighbours; instances that receive none open their own watch. Otherwise requests would still be sent
-     * to a target that has left.
+     * remaining watcher's heartbeats reach its neighbours and the watchers of the other data centres; instances that
+     * receive no heartbeats open their own watch. Otherwise requests would still be sent to a target that has left.
      */
     @Test
     void aChangeSeenByOneWatcherReachesAllThatTheStoreServes() {
@@ -147,9 +146,9 @@
 
     /**
      * All instances start together on slow machines and need three seconds to know one another, while the list entry of
-     * each one is written. Without the startup grace, with own watches from 1.5 s on and with a watch by each instance
-     * that a growing view selects as watcher for a moment, they make 3,049 calls in these seconds; with it 685, of
-     * which 95 are full reads.
+     * each one is written. If instances open own watches from 1.5 s on, and each one that a growing view selects as
+     * watcher for a moment watches, they make 3,049 calls in these seconds; with the startup grace and the minimum
+     * selection time 685, of which 95 are full reads.
      */
     @Test
     void aSimultaneousStartOpensFewWatches() {
