--- a/kernel/src/test/java/org/marjoramswitch/kernel/PlacementFleet.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/PlacementFleet.java
@@ -43,8 +43,8 @@
     static final List<InstanceId> INSTANCES =
             List.of(InstanceId.of("entry-1"), InstanceId.of("entry-2"), InstanceId.of("entry-3"));
     static final int SLOTS = 2;
-    static final long PATIENCE_MS = 5_000;
-    static final WindowedRetryBudget.Limits RESENDS = new WindowedRetryBudget.Limits(10_000, 0.2, 12);
+    static final long CALLER_TIMEOUT_MS = 5_000;
+    static final WindowedRetryBudget.Limits RETRY_LIMITS = new WindowedRetryBudget.Limits(10_000, 0.2, 12);
 
     final Map<InstanceId, InstanceKernel> kernels = new TreeMap<>();
     final Deque<Sent> wire = new ArrayDeque<>();
@@ -73,7 +73,7 @@
     private void boot(Member member) {
         kernels.put(
                 member.id(),
-                InstanceKernel.create(member, KernelOptions.defaults().withResendLimits(RESENDS)));
+                InstanceKernel.create(member, KernelOptions.defaults().withResendLimits(RETRY_LIMITS)));
     }
 
     /** Restarts the instance's process without its state and notifies the others of its exit and its start. */
@@ -83,11 +83,11 @@
         incarnations.merge(id, 1L, Long::sum);
         boot(member(id));
         frozen.remove(id);
-        tell(id, new Event.SettingsAccepted(settings(targetNames)));
+        apply(id, new Event.SettingsAccepted(settings(targetNames)));
         shareView();
         INSTANCES.stream().filter(other -> !other.equals(id)).forEach(other -> {
-            tell(other, new Event.PeerLinkChanged(id, true));
-            tell(id, new Event.PeerLinkChanged(other, true));
+            apply(other, new Event.PeerLinkChanged(id, true));
+            apply(id, new Event.PeerLinkChanged(other, true));
         });
     }
 
@@ -97,7 +97,7 @@
 
     private void shareView() {
         FleetView view = FleetView.of(INSTANCES.stream().map(this::member).toList());
-        INSTANCES.forEach(id -> tell(id, new Event.ViewChanged(view)));
+        INSTANCES.forEach(id -> apply(id, new Event.ViewChanged(view)));
     }
 
     boolean isRunning(long request) {
@@ -117,17 +117,17 @@
         PlacementSpec placement = new PlacementSpec(
                 List.of(PromptPart.of(1, 10), PromptPart.of(100 + requests, 10)), 5, nowMs + 400, attempts, resumable);
         RequestSpec spec = new RequestSpec(
-                requests, CUSTOMER, POOL, 1, repeatable, 20, 5, 0, nowMs + PATIENCE_MS, placement, digest);
-        tell(entry, new Event.RequestArrived(spec));
+                requests, CUSTOMER, POOL, 1, repeatable, 20, 5, 0, nowMs + CALLER_TIMEOUT_MS, placement, digest);
+        apply(entry, new Event.RequestArrived(spec));
         return requests;
     }
 
     void end(long request, TargetOutcome outcome) {
-        tell(entry, new Event.TargetEnded(request, outcome, Usage.NONE));
+        apply(entry, new Event.TargetEnded(request, outcome, Usage.NONE));
     }
 
     void targets(String... names) {
-        INSTANCES.forEach(id -> tell(id, new Event.SettingsAccepted(settings(names))));
+        INSTANCES.forEach(id -> apply(id, new Event.SettingsAccepted(settings(names))));
     }
 
     static FleetSettings settings(String... names) {
@@ -147,20 +147,20 @@
 
     void loseLink(InstanceId peer) {
         INSTANCES.stream().filter(id -> !id.equals(peer)).forEach(id -> {
-            tell(id, new Event.PeerLinkChanged(peer, false));
-            tell(peer, new Event.PeerLinkChanged(id, false));
+            apply(id, new Event.PeerLinkChanged(peer, false));
+            apply(peer, new Event.PeerLinkChanged(id, false));
         });
         frozen.add(peer);
     }
 
-    void pass(long forMs) {
+    void advance(long forMs) {
         for (long untilMs = nowMs + forMs; nowMs < untilMs; ) {
             nowMs += 10;
-            INSTANCES.stream().filter(id -> !frozen.contains(id)).forEach(id -> tell(id, new Event.Tick()));
+            INSTANCES.stream().filter(id -> !frozen.contains(id)).forEach(id -> apply(id, new Event.Tick()));
         }
     }
 
-    void tell(InstanceId id, Event event) {
+    void apply(InstanceId id, Event event) {
         Objects.requireNonNull(kernels.get(id)).apply(event, nowMs).forEach(action -> perform(id, action));
         deliver();
     }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/PlacementFleetTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/PlacementFleetTest.java
@@ -36,10 +36,10 @@
         frozen.add(arbiter);
         long request = arrive(true, 2, false);
         assertEquals(0, dispatched.size());
-        pass(1_000);
+        advance(1_000);
         assertEquals(1, dispatched.size());
         frozen.clear();
-        pass(1_000);
+        advance(1_000);
         assertEquals(1, dispatched.size());
         end(request, TargetOutcome.COMPLETED);
         assertTrue(ends.get(request) instanceof Action.Complete);
@@ -54,7 +54,7 @@
         assertEquals(2 * SLOTS, dispatched.size());
         loseLink(arbiter);
         arrive(true, 2, false);
-        pass(50);
+        advance(50);
         assertEquals(2 * SLOTS, dispatched.size());
         end(1, TargetOutcome.COMPLETED);
         assertEquals(2 * SLOTS + 1, dispatched.size());
@@ -68,16 +68,16 @@
         }
         frozen.add(arbiter);
         arrive(true, 2, false);
-        pass(1_000);
+        advance(1_000);
         for (long request = 1; request <= 2 * SLOTS; request++) {
             end(request, TargetOutcome.COMPLETED);
         }
         frozen.clear();
-        pass(2_000);
+        advance(2_000);
         for (int i = 0; i < 2 * SLOTS; i++) {
             arrive(true, 2, false);
         }
-        pass(50);
+        advance(50);
         assertEquals(4 * SLOTS, dispatched.size());
     }
 
@@ -92,9 +92,9 @@
             arrive(true, 2, false);
         }
         frozen.add(entry);
-        pass(1_000);
+        advance(1_000);
         frozen.clear();
-        pass(20);
+        advance(20);
         frozen.add(third);
         end(1, TargetOutcome.COMPLETED);
         arrive(true, 2, false);
@@ -149,7 +149,7 @@
     @Test
     void runningRequestEndsAtItsDeadline() {
         long request = arrive(true, 2, false);
-        pass(PATIENCE_MS + 20);
+        advance(CALLER_TIMEOUT_MS + 20);
         assertEquals(ErrorType.REQUEST_TIMEOUT, failure(request).failure().type());
         assertEquals(RunState.UNKNOWN, failure(request).failure().run());
         assertEquals(1, cancelled.size());
@@ -170,11 +170,11 @@
     /** Guards against a dispatch to a draining target that the arbiter does not know to be draining. */
     @Test
     void entryDispatchesNothingToADrainingTarget() {
-        tell(entry, new Event.SettingsAccepted(settings("t2")));
+        apply(entry, new Event.SettingsAccepted(settings("t2")));
         for (int i = 0; i < SLOTS; i++) {
             arrive(true, 2, false);
         }
-        pass(100);
+        advance(100);
         assertEquals(SLOTS, dispatched.size());
         assertTrue(dispatched.stream().allMatch(start -> start.target().equals(TargetId.of("t2"))));
     }
@@ -185,39 +185,39 @@
      */
     @Test
     void announcedShutdownHoldsUntilTheTargetRestarts() {
-        tell(entry, new Event.TargetSaidLeaving(TargetId.of("t1"), 0));
-        INSTANCES.forEach(id -> tell(id, new Event.TargetsLeaving(Set.of())));
+        apply(entry, new Event.TargetSaidLeaving(TargetId.of("t1"), 0));
+        INSTANCES.forEach(id -> apply(id, new Event.TargetsLeaving(Set.of())));
         targets("t1", "t2");
         entry = arbiter;
         for (int i = 0; i < 2 * SLOTS; i++) {
             arrive(true, 2, false);
         }
-        pass(100);
+        advance(100);
         assertEquals(SLOTS, dispatched.size());
         assertTrue(dispatched.stream().allMatch(start -> start.target().equals(TargetId.of("t2"))));
-        INSTANCES.forEach(id -> tell(id, new Event.SettingsAccepted(settings(5, "t1", "t2"))));
-        pass(100);
+        INSTANCES.forEach(id -> apply(id, new Event.SettingsAccepted(settings(5, "t1", "t2"))));
+        advance(100);
         assertEquals(2 * SLOTS, dispatched.size());
     }
 
     /** A target in backoff receives nothing. When the backoff has elapsed, waiting requests go there immediately. */
     @Test
     void targetInBackoffIsUsedAgainAfterwards() {
-        tell(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 200));
+        apply(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 200));
         for (int i = 0; i < 2 * SLOTS; i++) {
             arrive(true, 2, false);
         }
-        pass(190);
+        advance(190);
         assertEquals(SLOTS, dispatched.size());
         assertTrue(dispatched.stream().allMatch(start -> start.target().equals(TargetId.of("t2"))));
-        pass(30);
+        advance(30);
         assertEquals(2 * SLOTS, dispatched.size());
     }
 
     /** An instance that the target did not ask to back off continues to use it. */
     @Test
     void backoffAppliesToOneInstanceOnly() {
-        tell(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 60_000));
+        apply(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 60_000));
         entry = arbiter;
         for (int i = 0; i < 2 * SLOTS; i++) {
             arrive(true, 2, false);
@@ -229,8 +229,8 @@
     @Test
     void placementAtATargetInBackoffIsReturned() {
         arriveAndBePlacedAtT1(
-                TargetId.of("t1"), () -> tell(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 60_000)));
-        pass(100);
+                TargetId.of("t1"), () -> apply(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 60_000)));
+        advance(100);
         assertEquals(1, dispatched.size());
         assertEquals(TargetId.of("t2"), dispatched.get(0).target());
     }
@@ -238,8 +238,8 @@
     /** With all targets in backoff, callers are rejected immediately with the time to retry, since waiting is useless. */
     @Test
     void requestIsRejectedWhileAllTargetsAreInBackoff() {
-        tell(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 2_000));
-        tell(entry, new Event.TargetAskedForRest(TargetId.of("t2"), 3_000));
+        apply(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 2_000));
+        apply(entry, new Event.TargetAskedForRest(TargetId.of("t2"), 3_000));
         long request = arrive(true, 2, false);
         assertEquals(ErrorType.TARGETS_REST, failure(request).failure().type());
         assertEquals(RunState.NOT_RUN, failure(request).failure().run());
@@ -254,8 +254,8 @@
     @Test
     @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
     void targetInBackoffIsNotPlacedRepeatedly() {
-        tell(arbiter, new Event.SettingsAccepted(settings("t1")));
-        tell(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 2_000));
+        apply(arbiter, new Event.SettingsAccepted(settings("t1")));
+        apply(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 2_000));
         long request = arrive(true, 2, false);
         assertEquals(ErrorType.TARGETS_REST, failure(request).failure().type());
         assertEquals(2_000, failure(request).failure().retryAfterMs());
@@ -268,9 +268,9 @@
         long request = arrive(true, 3, true);
         TargetId failed = dispatched.get(0).target();
         TargetId resting = TargetId.of(failed.equals(TargetId.of("t1")) ? "t2" : "t1");
-        tell(entry, new Event.TargetAskedForRest(resting, 60_000));
+        apply(entry, new Event.TargetAskedForRest(resting, 60_000));
         end(request, TargetOutcome.BROKEN_BEFORE_ANSWER);
-        pass(100);
+        advance(100);
         assertEquals(2, dispatched.size());
         assertEquals(failed, dispatched.get(1).target());
     }
@@ -281,7 +281,7 @@
         int count = 200;
         for (int i = 0; i < count; i++) {
             long request = arrive(true, 2, false);
-            pass(20);
+            advance(20);
             while (!ends.containsKey(request) && isRunning(request)) {
                 end(request, TargetOutcome.BROKEN_BEFORE_ANSWER);
             }
@@ -291,7 +291,7 @@
                         .mapToLong(Action.Dispatch::requestId)
                         .distinct()
                         .count();
-        double bound = RESENDS.share() * count + RESENDS.slack();
+        double bound = RETRY_LIMITS.share() * count + RETRY_LIMITS.slack();
         assertTrue(retried > 0 && retried <= bound, "retries: " + retried + ", bound " + bound);
     }
 
--- a/kernel/src/test/java/org/marjoramswitch/kernel/RequestThatEndsTargetsTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/RequestThatEndsTargetsTest.java
@@ -47,7 +47,7 @@
     @Test
     void itIsSentNoFurtherFromAnyInstance() {
         comeUntilKnown();
-        pass(TIME_TO_TELL_MS);
+        advance(TIME_TO_TELL_MS);
         assertSentLittleFromNowOn();
     }
 
@@ -55,7 +55,7 @@
     @Test
     void itsCallerIsToldAtOnceThatItHasNotRun() {
         comeUntilKnown();
-        pass(TIME_TO_TELL_MS);
+        advance(TIME_TO_TELL_MS);
         long last = 0;
         for (int i = 0; i <= MOST_SENDS_AFTERWARDS; i++) {
             last = comeAt(INSTANCES.get(i % INSTANCES.size()));
@@ -69,10 +69,10 @@
     void itIsKnownAfterEveryInstanceHasStartedAnew() {
         comeUntilKnown();
         for (InstanceId id : INSTANCES) {
-            pass(TIME_TO_TELL_MS);
+            advance(TIME_TO_TELL_MS);
             restart(id, TARGETS);
         }
-        pass(TIME_TO_TELL_MS);
+        advance(TIME_TO_TELL_MS);
         assertSentLittleFromNowOn();
     }
 
@@ -88,7 +88,7 @@
             assertTrue(isRunning(bystander), "the request is not sent again");
             end(bystander, TargetOutcome.COMPLETED);
             assertTrue(ends.get(bystander) instanceof Action.Complete);
-            pass(RESENDS.windowMs());
+            advance(RETRY_LIMITS.windowMs());
         }
     }
 
@@ -102,7 +102,7 @@
             long served = arrive(true, 1, false, 7);
             end(served, TargetOutcome.COMPLETED);
             assertTrue(ends.get(served) instanceof Action.Complete, "refused though it is served");
-            pass(100);
+            advance(100);
         }
     }
 
@@ -115,7 +115,7 @@
     void itIsSentNoFurtherWhateverHappensMeanwhile(long seed) {
         Random random = new Random(seed);
         comeUntilKnown();
-        pass(TIME_TO_TELL_MS);
+        advance(TIME_TO_TELL_MS);
         int sentBefore = harmfulSends();
         for (int i = 0; i < 30; i++) {
             InstanceId disturbed = INSTANCES.get(random.nextInt(INSTANCES.size()));
@@ -125,11 +125,11 @@
                 if (!other.equals(disturbed)) {
                     comeAt(other);
                 }
-                pass(random.nextInt(200));
+                advance(random.nextInt(200));
                 endTargetsThatRunIt();
             }
             frozen.clear();
-            pass(TIME_TO_TELL_MS - 1_000 + random.nextInt(1_000));
+            advance(TIME_TO_TELL_MS - 1_000 + random.nextInt(1_000));
         }
         int after = harmfulSends() - sentBefore;
         assertTrue(after <= MOST_SENDS_AFTERWARDS, "seed " + seed + ": sent to targets " + after + " times more");
@@ -160,7 +160,7 @@
     private void comeUntilKnown() {
         for (int i = 0; endedTargets.size() < TARGETS_ENDED_UNTIL_KNOWN; i++) {
             comeAt(INSTANCES.get(i % INSTANCES.size()));
-            pass(300);
+            advance(300);
         }
     }
 
@@ -179,7 +179,7 @@
             InstanceId sender = harmful.get(sent.requestId());
             if (sender != null) {
                 endedTargets.add(sent.target());
-                tell(sender, new Event.TargetEnded(sent.requestId(), TargetOutcome.BROKEN_BEFORE_ANSWER, Usage.NONE));
+                apply(sender, new Event.TargetEnded(sent.requestId(), TargetOutcome.BROKEN_BEFORE_ANSWER, Usage.NONE));
             }
         }
     }
@@ -188,7 +188,7 @@
         int sentBefore = dispatched.size();
         for (int i = 0; i < 12; i++) {
             comeAt(INSTANCES.get(i % INSTANCES.size()));
-            pass(500);
+            advance(500);
         }
         int after = dispatched.size() - sentBefore;
         assertTrue(after <= MOST_SENDS_AFTERWARDS, "sent to targets " + after + " times more");
