--- a/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/Arbiter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/Arbiter.java
@@ -241,10 +241,10 @@
      * Returns the charges to send to the arbiters of the pool's other cells, or null if the interval has not elapsed or
      * nothing changed.
      *
-     * <p>Includes only customers that were also backlogged at the previous call. Otherwise the charges of the whole time
-     * without a backlog would arrive at once, after the customer was raised to the floor at the other cells, and delay
-     * it for seconds; raising it to the floor cancels these charges in any case. A message lost with its link loses the
-     * charges of one interval.
+     * <p>Includes only customers that were also backlogged at the previous call. Otherwise the charges of the whole
+     * time without a backlog would arrive at once, after the customer was raised to the floor at the other cells, and
+     * delay it for seconds; raising it to the floor cancels these charges in any case. A message lost with its link
+     * loses the charges of one interval.
      */
     public PeerMessage.@Nullable Charges chargesToSend(long nowMs) {
         if (nowMs < nextChargesAtMs) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/EntryState.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/EntryState.java
@@ -77,7 +77,9 @@
             urgency = newUrgency;
         }
 
-        /** Sequence of the last grant made for this offer, initially the next one at its creation; the least is next. */
+        /**
+         * Sequence of the last grant made for this offer, initially the next one at its creation; the least is next.
+         */
         long lastGrant() {
             return lastGrant;
         }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/capacity/OutlierEjection.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/capacity/OutlierEjection.java
@@ -4,9 +4,9 @@
  * Ejects a target after consecutive faults and re-admits it through probes.
  *
  * <p>After {@value #FAULTS_TO_EJECT} consecutive faults the target receives no requests for a period that doubles with
- * every ejection, from {@value #BASE_EJECTION_MS} ms to {@value #MAX_EJECTION_MS} ms. After that it receives one request
- * at a time as a probe until one succeeds. Without ejection, a target that fails requests immediately frees its slots
- * first and attracts the whole queue.
+ * every ejection, from {@value #BASE_EJECTION_MS} ms to {@value #MAX_EJECTION_MS} ms. After that it receives one
+ * request at a time as a probe until one succeeds. Without ejection, a target that fails requests immediately frees its
+ * slots first and attracts the whole queue.
  */
 public final class OutlierEjection {
     private static final int FAULTS_TO_EJECT = 3;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/cell/ArbiterAssignment.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/cell/ArbiterAssignment.java
@@ -16,10 +16,11 @@
 /**
  * Selects the arbiter of each cell by bounded-load rendezvous hashing among the instances with the most processor.
  *
- * <p>Every request of a cell passes through its arbiter, so an arbiter that runs out of processor stalls the cell for all
- * customers while its targets idle. Each cell therefore ranks the eligible instances by rendezvous weight, those of the
- * {@link ProcessorTier} before all others, and takes the first one that has fewer cells than its quota: its processor's
- * share of all cells, rounded up. Plain rendezvous hashing would give one of 9 equal instances three of 8 cells.
+ * <p>Every request of a cell passes through its arbiter, so an arbiter that runs out of processor stalls the cell for
+ * all customers while its targets idle. Each cell therefore ranks the eligible instances by rendezvous weight, those of
+ * the {@link ProcessorTier} before all others, and takes the first one that has fewer cells than its quota: its
+ * processor's share of all cells, rounded up. Plain rendezvous hashing would give one of 9 equal instances three of 8
+ * cells.
  *
  * <p>Example: 52 instances of 360 millicores, 8 of 1,500 and 2 cells. The share of a large instance is 0.1 of a cell,
  * rounded up to 1, so two of the large ones are arbiters.
@@ -27,7 +28,8 @@
  * <p>Correctness: the result depends only on the membership view and the cells, so equal views give equal arbiters.
  * Different views may give two arbiters for a cell. Only the entry starts requests, each at most once, so two arbiters
  * may over-admit for a while but run nothing twice. An entry that cannot reach a cell's arbiter uses the next reachable
- * instance in that cell's rank, see {@link #reachable}, so all entries that lost the same arbiter use the same fallback.
+ * instance in that cell's rank, see {@link #reachable}, so all entries that lost the same arbiter use the same
+ * fallback.
  *
  * <p>Cost: one hash per cell and instance on a change of view; 160 cells and 350 instances are 56,000 hashes.
  */
@@ -51,7 +53,9 @@
         return arbiterByCell.get(cell);
     }
 
-    /** Returns the cell's arbiter or, if that is unreachable, the first reachable instance in the cell's rank, or null. */
+    /**
+     * Returns the cell's arbiter or, if that is unreachable, the first reachable instance in the cell's rank, or null.
+     */
     public @Nullable InstanceId reachable(CellId cell, Collection<InstanceId> unreachable) {
         InstanceId arbiter = arbiterByCell.get(cell);
         if (arbiter == null || !unreachable.contains(arbiter)) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/cell/CellMap.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/cell/CellMap.java
@@ -18,7 +18,8 @@
  *
  * <p>A pool's targets, in the order of their names, are assigned round-robin to as few cells as the pool's cell size
  * allows: 8 targets and a cell size of 3 give cells of 3, 3 and 2. Cell sizes therefore differ by at most one target. A
- * target that is added or removed moves others between cells, which costs only re-registrations; settings rarely change.
+ * target that is added or removed moves others between cells, which costs only re-registrations; settings rarely
+ * change.
  */
 public final class CellMap {
     private final Map<PoolId, List<CellId>> cellsByPool = new TreeMap<>();
--- a/kernel/src/main/java/org/marjoramswitch/kernel/fair/FairShares.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/fair/FairShares.java
@@ -79,8 +79,8 @@
 
     /**
      * Returns the charge of a running request: the tokens delivered plus the remaining estimate, which is at least half
-     * of the estimate. A request with estimate 200 that has delivered 190 tokens is charged 290, not 200, since a request
-     * that gets this far is likely to be long.
+     * of the estimate. A request with estimate 200 that has delivered 190 tokens is charged 290, not 200, since a
+     * request that gets this far is likely to be long.
      */
     public static double expectedCostTokens(double deliveredTokens, double estimateTokens) {
         return deliveredTokens + Math.max(MIN_REMAINING_SHARE * estimateTokens, estimateTokens - deliveredTokens);
@@ -112,14 +112,17 @@
     }
 
     /**
-     * Sets how far below the floor a customer may start that becomes backlogged from now on. If the work of a few seconds
-     * is known, an even share of it serves light customers better than the default of a few initial estimates.
+     * Sets how far below the floor a customer may start that becomes backlogged from now on. If the work of a few
+     * seconds is known, an even share of it serves light customers better than the default of a few initial estimates.
      */
     public void credit(double tokens) {
         creditTokens = tokens;
     }
 
-    /** Sets the number of a customer's waiting requests; one that becomes backlogged is raised to the floor less the credit. */
+    /**
+     * Sets the number of a customer's waiting requests; one that becomes backlogged is raised to the floor less the
+     * credit.
+     */
     public void waiting(CustomerId customer, int requests) {
         CustomerAccount account = account(customer);
         if (requests == account.waiting()) {
@@ -184,9 +187,10 @@
 
     /**
      * Restores a customer's lead under an earlier arbiter. Until {@link #endAdoption}, leads are relative to a fixed
-     * origin and the counters are not raised to the floor: relative to the floor, each counter would depend on the order
-     * of registrations, and raising it would penalise the customer that is owed most service. Later leads are relative to
-     * the floor. Of several reports for one customer the highest applies, since counters of waiting customers do not fall.
+     * origin and the counters are not raised to the floor: relative to the floor, each counter would depend on the
+     * order of registrations, and raising it would penalise the customer that is owed most service. Later leads are
+     * relative to the floor. Of several reports for one customer the highest applies, since counters of waiting
+     * customers do not fall.
      */
     public void adopt(CustomerId customer, double aheadTokens) {
         CustomerAccount account = account(customer);
