--- a/kernel/src/main/java/org/marjoramswitch/kernel/InstanceKernel.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/InstanceKernel.java
@@ -28,21 +28,23 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * All routing decisions of one instance, as an entry for its own callers and as the arbiter of the cells that entries
- * register with it: a pure function of the events so far and their times. Not thread-safe; one duty drives it.
+ * Makes all routing decisions of one instance, as the entry instance of its own callers and as the arbiter of the cells
+ * that entries register with it. The decisions are a pure function of the events and their times.
  *
- * <p>Messages of the instance to itself do not leave it: they are handled within the same call, in order.
+ * <p>Messages of the instance to itself are handled within the same call, in order. Not thread-safe; driven by a single
+ * event loop.
  */
 public final class InstanceKernel {
-    /** Between two ticks while a request waits here for a target; what it waits for is counted in milliseconds. */
+    /** Tick interval while a request waits here for a target; such waits last milliseconds. */
     public static final long BUSY_TICK_MS = 10;
     /**
-     * Between two ticks while none does: deadlines and silent peers, which are counted in hundreds of milliseconds. Each tick
-     * wakes the process; in a fleet of many instances with little to do each, that is most of what its decisions cost.
+     * Tick interval while no request waits, for deadlines and silent peers, whose timeouts are hundreds of
+     * milliseconds. Each tick wakes the process, which is most of the processor cost of decisions in a fleet of mostly
+     * idle instances.
      */
     private static final long QUIET_TICK_MS = 50;
-    /** How often an unreachable peer that should be an arbiter is tried again. */
-    private static final long REACH_AGAIN_MS = 500;
+    /** Interval of the probes of unreachable peers that should be arbiters. */
+    private static final long UNREACHABLE_PROBE_INTERVAL_MS = 500;
 
     private final Member self;
     private final KernelOptions options;
@@ -50,13 +52,13 @@
     private final Entry entry;
     private final Map<CellId, Arbiter> arbiters = new TreeMap<>();
     private final Map<CellId, Long> assignedSinceMs = new TreeMap<>();
-    private final Set<CellId> touched = new TreeSet<>();
+    private final Set<CellId> changedCells = new TreeSet<>();
     private final PlacementArbiters placements;
-    private final Deque<PeerMessage> toSelf = new ArrayDeque<>();
+    private final Deque<PeerMessage> selfMessages = new ArrayDeque<>();
     private final PeerWatch entryWatch = PeerWatch.create();
     private boolean draining;
     private boolean drained;
-    private long nextReachMs;
+    private long nextUnreachableProbeMs;
 
     private InstanceKernel(Member self, KernelOptions options) {
         this.self = self;
@@ -70,7 +72,7 @@
         return create(self, KernelOptions.defaults());
     }
 
-    /** A kernel with other constants than the defaults. */
+    /** Creates a kernel with options other than the defaults. */
     public static InstanceKernel create(Member self, KernelOptions options) {
         return new InstanceKernel(self, options);
     }
@@ -87,50 +89,50 @@
         return plan.view();
     }
 
-    /** Requests of this instance's callers that have not ended. */
+    /** Returns the number of requests of this instance's callers that have not ended. */
     public int openRequests() {
         return entry.open();
     }
 
-    /** Requests of this instance's callers that wait for a grant. */
+    /** Returns the number of requests of this instance's callers that wait for a grant. */
     public int waitingRequests() {
         return entry.waiting();
     }
 
-    /** The cells this instance grants now. */
+    /** Returns the cells of which this instance is currently an arbiter. */
     public List<CellId> arbitratedCells() {
         return List.copyOf(arbiters.keySet());
     }
 
-    /** The targets whose load reports this instance needs. */
+    /** Returns the targets whose load reports this instance needs. */
     public List<TargetSettings> arbitratedTargets() {
         return arbiters.keySet().stream()
                 .flatMap(cell -> plan.cells().targets(cell).stream())
                 .toList();
     }
 
-    /** The arbiter that this instance turns to for a cell, null where there is none. */
+    /** Returns the arbiter that this instance uses for a cell, null if there is none. */
     public @Nullable InstanceId arbiterOf(CellId cell) {
         return plan.arbiter(cell);
     }
 
-    /** The pool's cells under the settings in force. */
+    /** Returns the cells of all pools under the current settings. */
     public List<CellId> cells() {
         return plan.cells().cells();
     }
 
-    /** How long the kernel may go without an event. */
+    /** Returns the maximum time until the next event, in milliseconds. */
     public long tickMs() {
         boolean waiting = entry.waiting() > 0 || !arbiters.isEmpty() || placements.isWaiting();
         return waiting ? BUSY_TICK_MS : QUIET_TICK_MS;
     }
 
-    /** Tells the kernel one event; {@code nowMs} never goes back. The actions are to be carried out in order. */
+    /** Applies one event. {@code nowMs} must not decrease, and the actions must be carried out in order. */
     public List<Action> apply(Event event, long nowMs) {
         List<Action> actions = new ArrayList<>();
         ActionSink sink = action -> emit(action, actions);
         handle(event, nowMs, sink);
-        settle(nowMs, sink);
+        processPending(nowMs, sink);
         if (draining && !drained && entry.open() == 0) {
             drained = true;
             actions.add(new Action.Drained());
@@ -140,30 +142,30 @@
 
     private void emit(Action action, List<Action> actions) {
         if (action instanceof Action.SendPeer send && send.to().equals(self.id())) {
-            toSelf.add(send.message());
+            selfMessages.add(send.message());
             return;
         }
         actions.add(action);
     }
 
-    private void settle(long nowMs, ActionSink sink) {
+    private void processPending(long nowMs, ActionSink sink) {
         while (true) {
-            PeerMessage message = toSelf.poll();
+            PeerMessage message = selfMessages.poll();
             if (message != null) {
                 received(self.id(), self.incarnation(), message, nowMs, sink);
                 continue;
             }
-            if (touched.isEmpty()) {
+            if (changedCells.isEmpty()) {
                 return;
             }
-            List<CellId> cells = List.copyOf(touched);
-            touched.clear();
-            cells.forEach(cell -> grantFree(cell, nowMs, sink));
+            List<CellId> cells = List.copyOf(changedCells);
+            changedCells.clear();
+            cells.forEach(cell -> grantFreeSlots(cell, nowMs, sink));
             cells.forEach(cell -> placements.decide(cell, nowMs, sink));
         }
     }
 
-    private void grantFree(CellId cell, long nowMs, ActionSink sink) {
+    private void grantFreeSlots(CellId cell, long nowMs, ActionSink sink) {
         Arbiter arbiter = arbiters.get(cell);
         if (arbiter != null) {
             arbiter.grantFreeSlots(nowMs, sink);
@@ -211,7 +213,7 @@
 
     private void received(InstanceId from, long incarnation, PeerMessage message, long nowMs, ActionSink sink) {
         if (!from.equals(self.id())) {
-            heard(from, message, nowMs, sink);
+            noteContact(from, message, nowMs, sink);
         }
         if (message instanceof PeerMessage.Probe probe) {
             sink.accept(new Action.SendPeer(from, new PeerMessage.ProbeReply(probe.number())));
@@ -234,7 +236,7 @@
         }
         if (message instanceof PeerMessage.Register register) {
             arbiterFor(register.cell(), nowMs).register(from, incarnation, register, nowMs);
-            touched.add(register.cell());
+            changedCells.add(register.cell());
         } else if (message instanceof PeerMessage.Unregister unregister) {
             withArbiter(unregister.cell(), arbiter -> arbiter.unregister(from));
             entry.registrations().registrationLost(from, unregister.cell(), nowMs, sink);
@@ -251,11 +253,11 @@
         } else if (message instanceof PeerMessage.Charges charges) {
             chargesReceived(charges);
         } else if (message instanceof PeerMessage.TargetLeaving leaving) {
-            peerSaysLeaving(leaving, sink);
+            peerReportedLeaving(leaving, sink);
         }
     }
 
-    private void peerSaysLeaving(PeerMessage.TargetLeaving leaving, ActionSink sink) {
+    private void peerReportedLeaving(PeerMessage.TargetLeaving leaving, ActionSink sink) {
         if (leaving.startedAtMs() != PeerMessage.TargetLeaving.LISTED) {
             noteSaidLeaving(leaving.target(), leaving.startedAtMs(), sink);
             return;
@@ -265,7 +267,7 @@
         targetsLeaving(all, sink);
     }
 
-    /** Takes a message about placements; false for any other. */
+    /** Handles a message about placements; returns false for any other message. */
     private boolean receivedPlacement(InstanceId from, PeerMessage message, long nowMs, ActionSink sink) {
         if (message instanceof PeerMessage.Placed placed) {
             entry.placed(from, placed, nowMs, sink);
@@ -277,20 +279,20 @@
         }
         CellId cell = placements.received(from, message, nowMs);
         if (cell != null) {
-            touched.add(cell);
+            changedCells.add(cell);
         }
         return cell != null;
     }
 
-    private void heard(InstanceId from, PeerMessage message, long nowMs, ActionSink sink) {
+    private void noteContact(InstanceId from, PeerMessage message, long nowMs, ActionSink sink) {
         entry.heard(from, nowMs, sink);
         entryWatch.heard(from, nowMs);
         for (Arbiter arbiter : arbiters.values()) {
             arbiter.messageReceived(from);
-            boolean back = arbiter.isRegistered(from)
+            boolean reconnected = arbiter.isRegistered(from)
                     && !arbiter.isConnected(from)
                     && !(message instanceof PeerMessage.Register);
-            if (back) {
+            if (reconnected) {
                 sink.accept(new Action.SendPeer(from, new PeerMessage.Unregister(arbiter.cell())));
                 arbiter.reconnected(from);
             }
@@ -298,36 +300,37 @@
     }
 
     /**
-     * A paused or cut-off entry starts nothing that it is granted: its offers would draw slots that stay empty, and
-     * charge its customers for them.
+     * Disconnects silent entries. A paused or unreachable entry starts none of its grants, so granting its offers would
+     * leave slots empty and charge its customers for them.
      */
-    private void watchEntries(long nowMs, ActionSink sink) {
+    private void disconnectSilentEntries(long nowMs, ActionSink sink) {
         Set<InstanceId> awaited = new TreeSet<>();
         arbiters.values().forEach(arbiter -> awaited.addAll(arbiter.entriesToProbe()));
         awaited.remove(self.id());
         for (InstanceId silent :
                 entryWatch.silent(awaited, nowMs, peer -> entry.registrations().probe(peer, sink))) {
             arbiters.values().forEach(arbiter -> arbiter.disconnected(silent));
-            touched.addAll(arbiters.keySet());
+            changedCells.addAll(arbiters.keySet());
         }
     }
 
     private void demanded(InstanceId from, PeerMessage.Demand demand, ActionSink sink) {
         Arbiter arbiter = arbiters.get(demand.cell());
         if (arbiter == null || !arbiter.isConnected(from)) {
-            // The entry was taken for dead here, or this instance restarted: it would wait for grants for good.
+            // The entry was disconnected here, or this instance restarted. Unless the entry registers again, it would
+            // wait for grants forever.
             sink.accept(new Action.SendPeer(from, new PeerMessage.Unregister(demand.cell())));
             return;
         }
         arbiter.demand(from, demand);
-        touched.add(demand.cell());
+        changedCells.add(demand.cell());
     }
 
     private void withArbiter(CellId cell, java.util.function.Consumer<Arbiter> change) {
         Arbiter arbiter = arbiters.get(cell);
         if (arbiter != null) {
             change.accept(arbiter);
-            touched.add(cell);
+            changedCells.add(cell);
         }
     }
 
@@ -341,8 +344,9 @@
     }
 
     /**
-     * The arbiter of a cell that an entry registers with. A duty that just came from another instance begins with a
-     * registration window; so does one that this instance's own view does not name it for yet.
+     * Returns the arbiter of a cell, created if necessary. A new arbiter starts with a registration window, which
+     * begins when the cell was assigned to this instance, or now if this instance's view does not assign the cell to it
+     * yet.
      */
     private Arbiter arbiterFor(CellId cell, long nowMs) {
         Arbiter known = arbiters.get(cell);
@@ -365,15 +369,15 @@
         } else {
             arbiters.values().forEach(arbiter -> arbiter.disconnected(changed.peer()));
         }
-        // On a new link the peer tells its state anew; what an older link brought must not be added to it.
+        // The peer sends its complete state on a new link, so state from an older link must be removed first.
         forgetPlacements(changed.peer(), nowMs);
         entry.planChanged(nowMs, sink);
     }
 
     private void viewChanged(FleetView view, long nowMs, ActionSink sink) {
-        FleetView former = plan.view();
+        FleetView previous = plan.view();
         plan.view(view);
-        for (Member member : former.members().values()) {
+        for (Member member : previous.members().values()) {
             Member now = view.member(member.id());
             boolean gone = now == null || now.incarnation() != member.incarnation();
             if (gone && !member.id().equals(self.id())) {
@@ -381,49 +385,50 @@
                 forgetPlacements(member.id(), nowMs);
             }
         }
-        noteAssignments(nowMs);
+        updateAssignments(nowMs);
         entry.planChanged(nowMs, sink);
     }
 
     private void forgetPlacements(InstanceId gone, long nowMs) {
         placements.forget(gone, nowMs);
-        touched.addAll(placements.cells());
+        changedCells.addAll(placements.cells());
     }
 
     /**
-     * The entry left the view. Should it live after all, nothing else would tell it that its offers are forgotten, so
-     * it is told; a dead one does not hear it.
+     * Removes an entry that left the view, and notifies it: if it is still alive, it would not learn otherwise that its
+     * offers were removed.
      */
     private void dropEntry(Arbiter arbiter, InstanceId gone, ActionSink sink) {
         if (arbiter.isRegistered(gone)) {
             arbiter.unregister(gone);
             sink.accept(new Action.SendPeer(gone, new PeerMessage.Unregister(arbiter.cell())));
-            touched.add(arbiter.cell());
+            changedCells.add(arbiter.cell());
         }
     }
 
     private void settingsAccepted(FleetSettings settings, long nowMs, ActionSink sink) {
         plan.settings(settings);
-        noteAssignments(nowMs);
+        updateAssignments(nowMs);
         refreshTargets();
         entry.planChanged(nowMs, sink);
     }
 
     private void targetsLeaving(Set<TargetId> leaving, ActionSink sink) {
-        Set<TargetId> news = new TreeSet<>(leaving);
-        news.removeAll(plan.leavingTargets());
+        Set<TargetId> newlyLeaving = new TreeSet<>(leaving);
+        newlyLeaving.removeAll(plan.leavingTargets());
         plan.leavingTargets(leaving);
         refreshTargets();
-        news.forEach(target -> passOnLeaving(target, PeerMessage.TargetLeaving.LISTED, sink));
+        newlyLeaving.forEach(target -> forwardLeaving(target, PeerMessage.TargetLeaving.LISTED, sink));
     }
 
     /**
-     * Where the list cannot tell that a target leaves, as the service behind it is away, the target's own answers still do. A
-     * caller that was sent to it until the list comes back would see its answer cut when the target ends.
+     * Marks a target as draining that announced its shutdown in a response. While the key-value store is unavailable,
+     * the target list does not show the shutdown, and the responses of requests sent to the target would be cut when it
+     * exits.
      */
     private void targetSaidLeaving(Event.TargetSaidLeaving said, ActionSink sink) {
         if (noteSaidLeaving(said.target(), said.startedAtMs(), sink)) {
-            passOnLeaving(said.target(), said.startedAtMs(), sink);
+            forwardLeaving(said.target(), said.startedAtMs(), sink);
         }
     }
 
@@ -436,8 +441,8 @@
         return true;
     }
 
-    /** News reach instances at different times; the arbiter is told by whoever knows first. */
-    private void passOnLeaving(TargetId target, long startedAtMs, ActionSink sink) {
+    /** Notifies the cell's arbiter, since updates reach instances at different times. */
+    private void forwardLeaving(TargetId target, long startedAtMs, ActionSink sink) {
         CellId cell = plan.cells().cellOf(target);
         InstanceId arbiter = cell == null ? null : plan.arbiter(cell);
         if (cell != null && arbiter != null && !arbiter.equals(self.id())) {
@@ -448,10 +453,10 @@
     private void refreshTargets() {
         for (Arbiter arbiter : arbiters.values()) {
             arbiter.targets(plan.cells().targets(arbiter.cell()), plan.leavingTargets());
-            touched.add(arbiter.cell());
+            changedCells.add(arbiter.cell());
         }
         placements.refreshTargets();
-        touched.addAll(placements.cells());
+        changedCells.addAll(placements.cells());
     }
 
     private void targetReported(Event.TargetReported reported, long nowMs) {
@@ -461,7 +466,7 @@
         }
     }
 
-    private void noteAssignments(long nowMs) {
+    private void updateAssignments(long nowMs) {
         Set<CellId> mine = new TreeSet<>();
         for (CellId cell : plan.cells().cells()) {
             if (self.id().equals(plan.assignedArbiter(cell))) {
@@ -474,18 +479,18 @@
 
     private void tick(long nowMs, ActionSink sink) {
         entry.tick(nowMs, sink);
-        watchEntries(nowMs, sink);
+        disconnectSilentEntries(nowMs, sink);
         arbiters.values().removeIf(arbiter -> !arbiter.hasEntries());
-        touched.addAll(arbiters.keySet());
-        touched.addAll(placements.cells());
-        arbiters.values().forEach(arbiter -> tellCharges(arbiter, nowMs, sink));
-        if (nowMs >= nextReachMs) {
-            nextReachMs = nowMs + REACH_AGAIN_MS;
+        changedCells.addAll(arbiters.keySet());
+        changedCells.addAll(placements.cells());
+        arbiters.values().forEach(arbiter -> sendCharges(arbiter, nowMs, sink));
+        if (nowMs >= nextUnreachableProbeMs) {
+            nextUnreachableProbeMs = nowMs + UNREACHABLE_PROBE_INTERVAL_MS;
             entry.registrations().probeUnreachable(sink);
         }
     }
 
-    private void tellCharges(Arbiter arbiter, long nowMs, ActionSink sink) {
+    private void sendCharges(Arbiter arbiter, long nowMs, ActionSink sink) {
         List<CellId> cells = plan.cells().cells(arbiter.cell().pool());
         PeerMessage.Charges charges = cells.size() < 2 ? null : arbiter.chargesToSend(nowMs);
         if (charges == null) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/KernelOptions.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/KernelOptions.java
@@ -4,20 +4,21 @@
 import org.marjoramswitch.kernel.placement.PlacementPolicy;
 
 /**
- * The constants of the decisions. They are options so that the bench can vary them; the defaults are the ones that
- * docs/MEASUREMENTS.md supports.
+ * Parameters of the routing decisions. They are options so that benchmarks can vary them; docs/MEASUREMENTS.md has the
+ * results behind the defaults.
  *
  * @param registrationWindowMs how long a new arbiter collects registrations before its first grant
- * @param spillAfterMs how long a request waits at one cell before a second one of the pool may grant it too; each time
- *     the wait doubles, so do the cells
- * @param offerLimit the most requests of one customer that an entry offers to one cell at a time
- * @param progressStepTokens a running request's cost is reported each time it grew by this much
- * @param chargesIntervalMs how often arbiters of a pool's cells tell one another what they charged
- * @param admitAhead requests given to a target beyond its slots, so that a grant's round trip leaves none empty
- * @param idleRegistrationMs how long an entry stays registered with a cell it has no requests for
- * @param maxWaiting the most requests that may wait at one instance
- * @param resendLimits what the whole fleet may send to a second target
- * @param placement how requests are placed
+ * @param spillAfterMs how long a request waits at one cell before a second cell of the pool may also grant it; each
+ *     doubling of the wait doubles the number of cells
+ * @param offerLimit maximum requests of one customer that an entry offers to one cell at a time
+ * @param progressStepTokens increase of a running request's cost after which it is reported again
+ * @param chargesIntervalMs interval at which the arbiters of a pool's cells exchange their charges
+ * @param admitAhead requests granted to a target beyond its slots, so that no slot stays empty during a grant's round
+ *     trip
+ * @param idleRegistrationMs how long an entry stays registered with a cell without having requests for it
+ * @param maxWaiting maximum waiting requests per instance
+ * @param resendLimits retry limits of the whole fleet
+ * @param placement policy for the placement of requests
  */
 public record KernelOptions(
         long registrationWindowMs,
--- a/kernel/src/main/java/org/marjoramswitch/kernel/PlacementArbiters.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/PlacementArbiters.java
@@ -13,7 +13,7 @@
 import org.marjoramswitch.kernel.placement.PlacementPolicy;
 import org.marjoramswitch.kernel.settings.PoolSettings;
 
-/** The arbiters of the cells that entries have asked this instance to place requests in. */
+/** Holds the placement arbiters of the cells for which entries have sent placement requests to this instance. */
 final class PlacementArbiters {
     private final FleetPlan plan;
     private final PlacementPolicy policy;
@@ -37,7 +37,7 @@
         return byCell.values().stream().anyMatch(PlacementArbiter::isWaiting);
     }
 
-    /** Takes an entry's message; its cell, or null for a message that is not for an arbiter of placements. */
+    /** Handles an entry's message; returns its cell, or null if the message is not about placements. */
     @Nullable
     CellId received(InstanceId from, PeerMessage message, long nowMs) {
         if (message instanceof PeerMessage.Place place) {
@@ -70,12 +70,12 @@
         }
     }
 
-    /** An entry is gone, or its link is new and it tells its state anew. */
+    /** Removes the state of an entry that is gone or that sends its complete state on a new link. */
     void forget(InstanceId entry, long nowMs) {
         byCell.values().forEach(arbiter -> arbiter.forget(entry, nowMs));
     }
 
-    /** Targets have come, left or moved to other cells. */
+    /** Updates all arbiters after targets were added, removed or moved to other cells. */
     void refreshTargets() {
         byCell.keySet().removeIf(cell -> plan.cells().targets(cell).isEmpty());
         byCell.values()
--- a/kernel/src/main/java/org/marjoramswitch/kernel/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/package-info.java
@@ -1,4 +1,4 @@
-/** The fleet's decisions as pure code: events and the present time in, actions out; no IO and no thread. */
+/** Routing decisions as pure functions from events and their times to actions, without I/O or threads. */
 @NullMarked
 package org.marjoramswitch.kernel;
 
