--- a/kernel/src/main/java/org/marjoramswitch/kernel/action/Action.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/action/Action.java
@@ -8,16 +8,17 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 import org.marjoramswitch.kernel.model.TargetId;
 
-/** One output of {@link org.marjoramswitch.kernel.InstanceKernel}. */
+/** An output of {@link org.marjoramswitch.kernel.InstanceKernel}, to be carried out by its caller. */
 public sealed interface Action {
 
-    /** Send a message on the link to a peer; dropped where there is none (a new link registers anew). */
+    /** Sends a message on the link to a peer; dropped without a link, since a new link re-sends the complete state. */
     record SendPeer(InstanceId to, PeerMessage message) implements Action {}
 
     /**
-     * Start an attempt, counted from 1, at a target.
+     * Starts an attempt at a target.
      *
-     * @param fetchFrom the target that keeps more of the prompt, null where there is nothing to be fetched
+     * @param attempt the attempt's number, starting at 1
+     * @param fetchFrom the target that has more of the prompt cached, null if nothing is to be fetched
      */
     record Dispatch(
             long requestId,
@@ -25,21 +26,21 @@
             int attempt,
             @Nullable TargetId fetchFrom) implements Action {}
 
-    /** Cancel the running attempt; its end is still to be reported. */
+    /** Cancels the running attempt, whose end must still be reported to the kernel. */
     record CancelAttempt(long requestId, TargetId target) implements Action {}
 
-    /** The request is over and the caller has, or is being given, the target's whole answer. */
+    /** Ends a request successfully: the caller has received, or is receiving, the target's complete response. */
     record Complete(long requestId) implements Action {}
 
-    /** The request is over with this failure. Each request ends by exactly one of Complete and Fail. */
+    /** Ends a request with a failure. Each request ends with exactly one {@link Complete} or {@link Fail}. */
     record Fail(long requestId, Failure failure) implements Action {}
 
-    /** What is held against a request that is blocked is to outlast the end of all instances. */
+    /** Stores the crashes of a blocked poison request, so that they survive the exit of all instances. */
     record KeepCrashes(long digest, List<RequestCrash> crashes) implements Action {}
 
-    /** A decision to be logged. */
+    /** Logs a decision. */
     record Decided(Decision decision) implements Action {}
 
-    /** This instance holds no request any more and may exit. */
+    /** Reports that the draining instance has no open requests left and may exit. */
     record Drained() implements Action {}
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/action/Decision.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/action/Decision.java
@@ -3,8 +3,10 @@
 import java.util.Map;
 
 /**
- * A routing or placement decision for the log: {@code event} names its kind, {@code fields} its subject, reason and
- * runners-up, in log order.
+ * A routing or placement decision for the log.
+ *
+ * @param event the kind of decision
+ * @param fields subject, reason and runners-up, in log order
  */
 public record Decision(String event, Map<String, Object> fields) {
     /** @param keyValues alternating keys (strings) and values */
--- a/kernel/src/main/java/org/marjoramswitch/kernel/action/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/action/package-info.java
@@ -1,4 +1,4 @@
-/** What the decisions ask their surroundings to do. */
+/** Outputs of the kernel, which its caller carries out. */
 @NullMarked
 package org.marjoramswitch.kernel.action;
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/event/Event.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/event/Event.java
@@ -12,68 +12,70 @@
 import org.marjoramswitch.kernel.model.Usage;
 import org.marjoramswitch.kernel.settings.FleetSettings;
 
-/** One input of {@link org.marjoramswitch.kernel.InstanceKernel}; with its time it is all that a decision depends on. */
+/**
+ * An input of {@link org.marjoramswitch.kernel.InstanceKernel}. Decisions depend only on the events and their times.
+ */
 public sealed interface Event {
 
-    /** A caller's request was read whole and may be queued. */
+    /** A caller's request was read completely and may be queued. */
     record RequestArrived(RequestSpec request) implements Event {}
 
-    /** The caller of a request closed its connection or cancelled. */
+    /** The caller closed its connection or cancelled the request. */
     record CallerGone(long requestId) implements Event {}
 
-    /** The target has delivered {@code outputTokens} of the running attempt's answer so far. */
+    /** The target has delivered {@code outputTokens} of the running attempt's response so far. */
     record TargetProgress(long requestId, long outputTokens) implements Event {}
 
-    /** The first byte of the running attempt's answer is there. */
+    /** The first byte of the running attempt's response arrived. */
     record TargetAnswering(long requestId) implements Event {}
 
     /** The running attempt of a request ended. */
     record TargetEnded(long requestId, TargetOutcome outcome, Usage usage) implements Event {}
 
-    /** A peer said something; {@code fromIncarnation} is the one that the link's handshake proved. */
+    /** A message arrived from a peer; {@code fromIncarnation} was authenticated by the link's handshake. */
     record PeerReceived(InstanceId from, long fromIncarnation, PeerMessage message) implements Event {
-        /** The same, decided on {@code delayMs} after its arrival: times in it are adjusted by that. */
+        /** Returns the event with its times adjusted for processing {@code delayMs} after its arrival. */
         public PeerReceived delayed(long delayMs) {
             PeerMessage adjusted = message.delayed(delayMs);
             return adjusted == message ? this : new PeerReceived(from, fromIncarnation, adjusted);
         }
     }
 
-    /** A link to a peer came up (a new one each time) or was lost or fell silent. */
+    /** A new link to a peer was established, or a link was lost or timed out. */
     record PeerLinkChanged(InstanceId peer, boolean up) implements Event {}
 
     /** The membership view changed. */
     record ViewChanged(FleetView view) implements Event {}
 
-    /** A newer generation of settings is in force. */
+    /** A newer generation of settings is in effect. */
     record SettingsAccepted(FleetSettings settings) implements Event {}
 
-    /** The platform's list names these targets as leaving; all others are live. */
+    /** The platform's list marks these targets as draining; all others are live. */
     record TargetsLeaving(Set<TargetId> leaving) implements Event {}
 
     /**
-     * A target said beside an answer that it leaves.
+     * A target announced its shutdown in a response.
      *
-     * @param startedAtMs tells the start of the target that said so, see {@link
+     * @param startedAtMs start time of that target process, see {@link
      *     org.marjoramswitch.kernel.settings.TargetSettings#startedAtMs}
      */
     record TargetSaidLeaving(TargetId target, long startedAtMs) implements Event {}
 
-    /** A target turned a request away and wants nothing from this instance for a while. */
+    /** A target rejected a request and must not receive requests from this instance for {@code restMs}. */
     record TargetAskedForRest(TargetId target, long restMs) implements Event {}
 
-    /** Ends of targets under requests that the platform's list names. */
+    /** Crashes of targets while running a request, as listed in the platform's key-value store. */
     record CrashesListed(List<PeerMessage.RequestCrash> crashes) implements Event {}
 
     /** A target reported its load. */
     record TargetReported(TargetId target, LoadReport report) implements Event {}
 
-    /** A target's cache gained or lost a prompt prefix; late and with gaps, so only a hint. */
+    /** A target's cache gained or lost a prompt prefix. Only a hint: such events arrive late and with gaps. */
     record PrefixCached(TargetId target, long prefixHash, boolean present) implements Event {}
 
-    /** This instance begins its graceful shutdown. */
+    /** This instance starts its graceful shutdown. */
     record DrainStarted() implements Event {}
 
-    /** Time has passed. */
+    /** Advances the time, for deadlines and timeouts. */
     record Tick() implements Event {}
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/event/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/event/package-info.java
@@ -1,4 +1,4 @@
-/** What the decisions are told. */
+/** Inputs of the kernel. */
 @NullMarked
 package org.marjoramswitch.kernel.event;
 
