--- a/kernel/src/main/java/org/marjoramswitch/kernel/error/ErrorType.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/error/ErrorType.java
@@ -1,8 +1,8 @@
 package org.marjoramswitch.kernel.error;
 
 /**
- * Every failure of the product: its number (stable, never used twice), severity, HTTP status towards callers (0 where
- * no caller sees it) and message template; {@code %s} stands for the failure's detail.
+ * All failures of the program. Each has a number (stable and never reused), a severity, the HTTP status sent to callers
+ * (0 if no caller sees it) and a message template, in which {@code %s} stands for the failure's detail.
  */
 public enum ErrorType {
     MALFORMED_REQUEST(100, Severity.NOTICE, 400, "The request cannot be understood: %s"),
@@ -77,17 +77,17 @@
         return severity;
     }
 
-    /** The status of the HTTP answer, or 0 for a failure that no caller sees. */
+    /** The status of the HTTP response, or 0 for a failure that no caller sees. */
     public int httpStatus() {
         return httpStatus;
     }
 
-    /** The message with {@code detail} in the template's place for it. */
+    /** Returns the message template with {@code detail} inserted. */
     public String message(String detail) {
         return template.replace("%s", detail);
     }
 
-    /** How loudly a failure is reported. */
+    /** Severity of a failure in logs and reports. */
     public enum Severity {
         NOTICE,
         WARNING,
--- a/kernel/src/main/java/org/marjoramswitch/kernel/error/Failure.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/error/Failure.java
@@ -3,9 +3,9 @@
 import org.marjoramswitch.kernel.model.RunState;
 
 /**
- * One failure as a caller is told of it.
+ * A failure as reported to a caller.
  *
- * @param retryAfterMs when a retry is worth while; 0 where the failure does not say
+ * @param retryAfterMs delay after which a retry is useful; 0 if unknown
  */
 public record Failure(ErrorType type, RunState run, long retryAfterMs, String detail) {
     public static Failure notRun(ErrorType type, long retryAfterMs, String detail) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/error/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/error/package-info.java
@@ -1,4 +1,4 @@
-/** The table of failures and the typed failure that callers and logs see. */
+/** The error types and the failures reported to callers and logs. */
 @NullMarked
 package org.marjoramswitch.kernel.error;
 
