--- a/kernel/src/main/java/org/marjoramswitch/kernel/replay/EventJson.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/replay/EventJson.java
@@ -30,37 +30,37 @@
 import org.marjoramswitch.kernel.settings.FleetSettings;
 
 /**
- * Writes and reads a recording, one JSON object a line: a {@link RecordingHeader}, then {@link RecordedEvent}s in the
- * order in which the kernel was told of them.
+ * Writes and reads recordings with one JSON object per line: a {@link RecordingHeader}, then the {@link RecordedEvent}s
+ * in the order in which the kernel applied them.
  *
- * <p>A replay must see what the kernel saw, so collections keep the order they were written in. Hashes of API keys are
- * left out; no decision depends on them.
+ * <p>Collections keep the order in which they were written, so that a replay applies the same events as the kernel did.
+ * Hashes of API keys are omitted; no decision depends on them.
  */
 public final class EventJson {
     private static final ObjectMapper MAPPER = mapper();
 
     private EventJson() {}
 
-    /** The header's line, without a line end. */
+    /** Returns the header's line, without a line terminator. */
     public static String write(RecordingHeader header) {
         return toJson(header);
     }
 
-    /** The event's line, without a line end. */
+    /** Returns the event's line, without a line terminator. */
     public static String write(RecordedEvent recorded) {
         return toJson(new RecordedEvent(recorded.atMs(), withoutKeys(recorded.event())));
     }
 
-    /** @throws IOException on anything that is not a header of this format */
+    /** @throws IOException if the line is not a header of this format */
     public static RecordingHeader readHeader(String line) throws IOException {
         RecordingHeader header = MAPPER.readValue(line, RecordingHeader.class);
         if (header.format() != RecordingHeader.FORMAT) {
-            throw new IOException("unknown format of a recording: " + header.format());
+            throw new IOException("unknown recording format: " + header.format());
         }
         return header;
     }
 
-    /** @throws IOException on anything that is not a recorded event */
+    /** @throws IOException if the line is not a recorded event */
     public static RecordedEvent readEvent(String line) throws IOException {
         return MAPPER.readValue(line, RecordedEvent.class);
     }
@@ -69,7 +69,7 @@
         try {
             return MAPPER.writeValueAsString(value);
         } catch (JsonProcessingException fault) {
-            throw new IllegalStateException("a record of the kernel has no JSON form", fault);
+            throw new IllegalStateException("a kernel record cannot be serialized as JSON", fault);
         }
     }
 
@@ -125,7 +125,7 @@
         return CellId.of(PoolId.of(text.substring(0, slash)), Integer.parseInt(text.substring(slash + 1)));
     }
 
-    /** Gives a sealed type's records a member that names their type. */
+    /** Mix-in that adds a member with the record's type name to the records of a sealed type. */
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
     private interface Typed {}
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/replay/RecordedEvent.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/replay/RecordedEvent.java
@@ -2,5 +2,5 @@
 
 import org.marjoramswitch.kernel.event.Event;
 
-/** One event and the time at which the kernel was told of it. */
+/** An event and the time at which the kernel applied it. */
 public record RecordedEvent(long atMs, Event event) {}
--- a/kernel/src/main/java/org/marjoramswitch/kernel/replay/RecordingHeader.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/replay/RecordingHeader.java
@@ -4,9 +4,9 @@
 import org.marjoramswitch.kernel.model.Member;
 
 /**
- * What a kernel is created from; the first line of a recording.
+ * The parameters that a kernel is created with; the first line of a recording.
  *
- * @param format version of the recording's form
+ * @param format version of the recording format
  */
 public record RecordingHeader(int format, Member self, KernelOptions options) {
     public static final int FORMAT = 1;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/replay/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/replay/package-info.java
@@ -1,4 +1,4 @@
-/** The text form of recorded events, from which the kernel's decisions can be replayed. */
+/** Serialization of recorded events, from which the kernel's decisions can be replayed. */
 @NullMarked
 package org.marjoramswitch.kernel.replay;
 
