--- a/kernel/src/main/java/org/marjoramswitch/kernel/message/PeerMessage.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/message/PeerMessage.java
@@ -10,50 +10,50 @@
 import org.marjoramswitch.kernel.model.TargetId;
 
 /**
- * What one instance says to another over their TCP link. Names are sent once per link and as small integers from then
- * on; package {@code wire} does that.
+ * A message between two instances on their TCP link. Package {@code wire} encodes names once per link and as small
+ * integers afterwards.
  */
 public sealed interface PeerMessage {
 
     /**
-     * Whether the message is sent at once, with what waits for the same link, in place of waiting a little for others to
-     * share its frame. Grants and ends are: a slot is empty while they travel.
+     * Whether the message is sent immediately, together with those queued for the same link, instead of waiting briefly
+     * for others to share its frame. True for grants and ends, since a slot is empty while they are in transit.
      */
     default boolean prompt() {
         return false;
     }
 
-    /** The message as it is when the receiver decides on it {@code delayMs} after its arrival. */
+    /** Returns the message with its times adjusted for processing {@code delayMs} after its arrival. */
     default PeerMessage delayed(long delayMs) {
         return this;
     }
 
     /**
-     * Entry to arbiter: the entry's whole state for a cell; it replaces what the arbiter held of this entry, but for
-     * grants later than {@code lastSequence}, which were still on their way.
+     * Entry to arbiter: the entry's complete state for a cell. It replaces the arbiter's state of this entry, except
+     * grants later than {@code lastSequence}, which were still in transit.
      */
     record Register(
             CellId cell, List<Offer> offers, List<Holding> holdings, List<Standing> standings, long lastSequence)
             implements PeerMessage {}
 
     /**
-     * Entry to arbiter: the entry no longer takes this instance for the cell's arbiter. Arbiter to entry: no
-     * registration of the entry is held here, so it must register if it still takes this instance for the arbiter.
+     * Entry to arbiter: the entry no longer uses this instance as the cell's arbiter. Arbiter to entry: the arbiter has
+     * no registration of the entry, which must register if it still uses this instance as the arbiter.
      */
     record Unregister(CellId cell) implements PeerMessage {}
 
     /**
      * Entry to arbiter: {@code added} more of a customer's requests may be granted here (fewer where negative).
      *
-     * @param urgency the most urgent one that waits at the entry
+     * @param urgency urgency of the customer's most urgent request waiting at the entry
      */
     record Demand(CellId cell, CustomerId customer, int added, int urgency) implements PeerMessage {}
 
     /**
      * Arbiter to entry: start one request of the customer at the target.
      *
-     * @param sequence unique for the arbiter's incarnation and cell, growing
-     * @param aheadTokens how far the customer's virtual counter is ahead of the least backlogged customer's
+     * @param sequence increasing, unique within the arbiter's incarnation and cell
+     * @param aheadTokens lead of the customer's virtual counter over the least one of a backlogged customer
      */
     record Grant(CellId cell, long sequence, CustomerId customer, TargetId target, long aheadTokens)
             implements PeerMessage {
@@ -63,10 +63,10 @@
         }
     }
 
-    /** Entry to arbiter: a grant is given back unused. */
+    /** Entry to arbiter: a grant is returned unused. */
     record Decline(CellId cell, long sequence, DeclineReason reason) implements PeerMessage {}
 
-    /** Entry to arbiter: what a granted request has cost so far, in weighted tokens. */
+    /** Entry to arbiter: the cost of a granted request so far, in weighted tokens. */
     record Progress(CellId cell, long sequence, long costTokens) implements PeerMessage {}
 
     /** Entry to arbiter: a granted request has ended and its slot is free. */
@@ -78,59 +78,59 @@
     }
 
     /**
-     * Arbiter to the arbiters of the pool's other cells: what backlogged customers were charged in this cell since the
-     * last message.
+     * Arbiter to the arbiters of the pool's other cells: the tokens charged to backlogged customers in this cell since
+     * the last message.
      */
     record Charges(CellId cell, Map<CustomerId, Long> chargedTokens, int freeSlots) implements PeerMessage {}
 
-    /** Any to any: a load report read from a target, passed to the cell's arbiter. */
+    /** Any to any: a load report read from a target, forwarded to the cell's arbiter. */
     record Load(CellId cell, TargetId target, long ageMs, int running, int queued, int maxBatch)
             implements PeerMessage {}
 
     /**
-     * Any to any: this target is leaving or was seen to be gone.
+     * Any to any: this target is draining or gone.
      *
-     * @param startedAtMs the start of the target that said so itself, {@link #LISTED} where a list tells it, which may
-     *     take it back
+     * @param startedAtMs start time of the target process that announced its shutdown itself, or {@link #LISTED} if a
+     *     target list shows it, which may revoke it
      */
     record TargetLeaving(PoolId pool, TargetId target, long startedAtMs) implements PeerMessage {
         public static final long LISTED = -1;
 
-        /** As a list tells it. */
+        /** Creates the message for a target that a list shows as draining. */
         public TargetLeaving(PoolId pool, TargetId target) {
             this(pool, target, LISTED);
         }
     }
 
-    /** Asks the instance that issued a request key what became of the request. */
+    /** Asks the home instance of a request key for the request's state. */
     record KeyQuery(long queryId, String key, CustomerId customer) implements PeerMessage {}
 
-    /** Answers {@link KeyQuery}. */
+    /** Response to {@link KeyQuery}. */
     record KeyReply(long queryId, KeyState state) implements PeerMessage {}
 
-    /** Asks an arbiter whether it ever granted for requests of an entry that is gone. */
+    /** Asks an arbiter whether it ever granted requests of an entry that is gone. */
     record WitnessQuery(long queryId, CellId cell, String entry, long entryIncarnation, long sinceMs)
             implements PeerMessage {}
 
-    /** Answers {@link WitnessQuery}. */
+    /** Response to {@link WitnessQuery}. */
     record WitnessReply(long queryId, WitnessState state) implements PeerMessage {}
 
     /** The newest generation of settings that the sender holds. */
     record SettingsHead(long generation, String digest) implements PeerMessage {}
 
-    /** Asks for the bodies that came after the generation that the asker holds; for all with 0. */
+    /** Requests the bodies that are newer than the sender's generation, or all with 0. */
     record SettingsQuery(long afterGeneration) implements PeerMessage {}
 
-    /** Bodies of a generation by team, as accepted: all, or those that the asker lacks. */
+    /** Accepted bodies of a generation by team: all, or those that the requesting instance lacks. */
     record SettingsBodies(long generation, String digest, Map<String, String> bodyByTeam) implements PeerMessage {}
 
     /**
-     * Entry to arbiter: this request waits for a target. Times are what is left, since clocks differ.
+     * Entry to arbiter: a placement request for a waiting request. Times are remaining times, since clocks differ.
      *
-     * @param ask names the question; unique within the entry's incarnation
-     * @param objectiveLeftMs until the first byte is late, negative where it is late already
-     * @param waitLeftMs until the entry refuses the request by itself
-     * @param excluded targets that failed the request before
+     * @param ask the placement id; unique within the entry's incarnation
+     * @param objectiveLeftMs time until the first byte is late, negative if it is late already
+     * @param waitLeftMs time until the entry itself rejects the request
+     * @param excluded targets at which the request failed before
      */
     record Place(
             CellId cell,
@@ -164,10 +164,10 @@
     }
 
     /**
-     * Arbiter to entry: start the request of this question at the target.
+     * Arbiter to entry: start the request with this placement id at the target.
      *
-     * @param fetchFrom the target that keeps more of the prompt, null where there is nothing to be fetched
-     * @param heldMs how long the arbiter kept the request waiting; at the entry its own backlog is included
+     * @param fetchFrom the target that has more of the prompt cached, null if nothing is to be fetched
+     * @param heldMs how long the request waited at the arbiter; the receiving entry adds the delay of its own backlog
      */
     record Placed(
             CellId cell,
@@ -187,9 +187,9 @@
     }
 
     /**
-     * Arbiter to entry: no target can serve the request in a useful time.
+     * Arbiter to entry: no target can serve the request in time.
      *
-     * @param heldMs how long the arbiter kept the request waiting
+     * @param heldMs how long the request waited at the arbiter
      */
     record NotPlaced(CellId cell, long ask, long retryAfterMs, long heldMs) implements PeerMessage {
         @Override
@@ -203,13 +203,13 @@
         }
     }
 
-    /** Entry to arbiter: a request that waits needs no target any more. */
+    /** Entry to arbiter: a waiting request no longer needs a target. */
     record PlaceWithdrawn(CellId cell, long ask) implements PeerMessage {}
 
-    /** Entry to arbiter: the first byte of the answer is there, so the target has read the prompt. */
+    /** Entry to arbiter: the first byte of the response arrived, so the target has completed the prefill. */
     record PlacementAnswering(CellId cell, long ask) implements PeerMessage {}
 
-    /** Entry to arbiter: the request has ended at its target, whose place is free. */
+    /** Entry to arbiter: the request has ended and its slot at the target is free. */
     record PlacementEnded(CellId cell, long ask, long outputTokens, PlacementEnd end) implements PeerMessage {
         @Override
         public boolean prompt() {
@@ -217,7 +217,7 @@
         }
     }
 
-    /** Entry to an arbiter that is new to it: the requests that it has at the cell's targets. */
+    /** Entry to an arbiter that it starts to use: the entry's running requests at the cell's targets. */
     record PlacementsHeld(CellId cell, List<HeldPlacement> held) implements PeerMessage {}
 
     /** Part of {@link PlacementsHeld}. */
@@ -227,28 +227,28 @@
     /** How a placed request ended at its target. */
     enum PlacementEnd {
         SERVED,
-        /** By the target's fault. */
+        /** Failed through the target's fault. */
         FAILED,
-        /** Nothing was sent to the target. */
+        /** No byte was sent to the target. */
         NOT_RUN,
-        /** The target could not be reached, or did not execute it and said so. */
+        /** The target was unreachable, or reported that it did not execute the request. */
         REFUSED,
-        /** Given up by its caller or at its deadline. */
+        /** Cancelled by its caller or at its deadline. */
         GIVEN_UP
     }
 
-    /** Reader to its data centre and to other readers: how far it has come with the prefixes that it watches. */
+    /** Watcher to its data centre and to other watchers: the heartbeat with its positions in the watched prefixes. */
     record WatchBeat(List<WatchPosition> positions) implements PeerMessage {}
 
     /**
      * Part of {@link WatchBeat}.
      *
-     * @param changedRevision of the last change that the sender has heard of
-     * @param completeRevision up to which it has heard of every change
+     * @param changedRevision revision of the last change that the sender has received
+     * @param completeRevision revision up to which the sender has received all changes
      */
     record WatchPosition(String prefix, long changedRevision, long completeRevision) {}
 
-    /** Reader to its data centre: what changed below a prefix after one revision and up to another. */
+    /** Watcher to its data centre: the changes below a prefix after one revision and up to another. */
     record WatchNews(String prefix, long fromRevision, long toRevision, List<WatchedEntry> changes)
             implements PeerMessage {
         @Override
@@ -257,18 +257,18 @@
         }
     }
 
-    /** Asks a reader for all entries below a prefix. */
+    /** Requests all entries below a prefix from a watcher. */
     record WatchQuery(String prefix) implements PeerMessage {}
 
-    /** Answers {@link WatchQuery}: all entries, as they were at a revision. */
+    /** Response to {@link WatchQuery}: all entries at a revision. */
     record WatchCopy(String prefix, long revision, List<WatchedEntry> entries) implements PeerMessage {}
 
     /**
-     * An entry of the platform's key-value service.
+     * An entry of the platform's key-value store.
      *
-     * @param value null where the entry was removed
-     * @param createRevision when it was written first
-     * @param revision when it was written last, or removed
+     * @param value null if the entry was removed
+     * @param createRevision revision of the first write
+     * @param revision revision of the last write or of the removal
      */
     record WatchedEntry(String key, @Nullable String value, long createRevision, long revision) {
         public static WatchedEntry removed(String key, long revision) {
@@ -277,23 +277,23 @@
     }
 
     /**
-     * Any to all: targets that ended under requests, and requests that were served though targets had ended under them.
-     * What was served is older than the ends told beside it.
+     * Any to all: crashes of targets while running requests, and requests that were served although targets had crashed
+     * while running them. The served ones are older than the crashes in the same message.
      */
     record CrashNews(List<RequestCrash> crashes, List<Long> served) implements PeerMessage {}
 
     /**
-     * Part of {@link CrashNews}: a target ended while it ran a request.
+     * Part of {@link CrashNews}: a target crashed while it ran a request.
      *
      * @param digest see {@link org.marjoramswitch.kernel.model.RequestSpec#digest}
-     * @param ageMs since the end
+     * @param ageMs time since the crash
      */
     record RequestCrash(long digest, TargetId target, long ageMs) {}
 
-    /** Nothing to say; shows that the link still carries. */
+    /** Shows that the link still works while no other message is sent. */
     record Heartbeat() implements PeerMessage {}
 
-    /** Asks a peer whether its decisions still run; a link's own heartbeats show only that its socket carries. */
+    /** Asks a peer whether its kernel still runs; the heartbeats of a link show only that its socket works. */
     record Probe(long number) implements PeerMessage {
         @Override
         public boolean prompt() {
@@ -301,7 +301,7 @@
         }
     }
 
-    /** Answers the {@link Probe} of this number, in order with all else that the peer sends. */
+    /** Response to the {@link Probe} of this number, in order with all other messages of the peer. */
     record ProbeReply(long number) implements PeerMessage {
         @Override
         public boolean prompt() {
@@ -313,15 +313,15 @@
     record Offer(CustomerId customer, int waiting, int urgency) {}
 
     /**
-     * Part of {@link Register}: a request in flight. From then on Progress and Ended name it by the sequence {@code
-     * -localId}.
+     * Part of {@link Register}: a request in flight. Later {@link Progress} and {@link Ended} messages identify it by
+     * the sequence {@code -localId}.
      */
     record Holding(long localId, CustomerId customer, TargetId target, long costTokens) {}
 
-    /** Part of {@link Register}: the last {@link Grant#aheadTokens} that the entry was told of a customer. */
+    /** Part of {@link Register}: the last {@link Grant#aheadTokens} that the entry received for a customer. */
     record Standing(CustomerId customer, long aheadTokens) {}
 
-    /** Why a grant was given back. */
+    /** Why a grant was returned. */
     enum DeclineReason {
         NOTHING_WAITING,
         NOT_THE_ARBITER,
@@ -330,7 +330,7 @@
         INSTANCE_LEAVING
     }
 
-    /** What the home instance of a request key knows of it. */
+    /** The state of a request key at its home instance. */
     enum KeyState {
         NEVER_SEEN,
         WAITING,
@@ -338,11 +338,11 @@
         ANSWERING,
         ENDED,
         DEAD,
-        /** Too old to tell whether it was ever seen. */
+        /** Too old to determine whether it was ever seen. */
         FORGOTTEN
     }
 
-    /** What an arbiter can testify of an entry that is gone. */
+    /** An arbiter's knowledge of grants to an entry that is gone. */
     enum WitnessState {
         NEVER_GRANTED,
         GRANTED,
--- a/kernel/src/main/java/org/marjoramswitch/kernel/message/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/message/package-info.java
@@ -1,4 +1,4 @@
-/** What instances say to one another, as typed messages; package wire encodes them. */
+/** Typed messages between instances; package wire encodes them. */
 @NullMarked
 package org.marjoramswitch.kernel.message;
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/model/CellId.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/model/CellId.java
@@ -2,7 +2,7 @@
 
 import java.util.Comparator;
 
-/** A cell: the part {@code index} of a pool's targets, which one arbiter grants. */
+/** Identifies a cell: part {@code index} of a pool's targets, whose slots one arbiter grants. */
 public record CellId(PoolId pool, int index) implements Comparable<CellId> {
     private static final Comparator<CellId> ORDER =
             Comparator.comparing(CellId::pool).thenComparingInt(CellId::index);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/model/CustomerId.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/model/CustomerId.java
@@ -1,6 +1,6 @@
 package org.marjoramswitch.kernel.model;
 
-/** The name of a customer, the unit between which capacity is shared. */
+/** The name of a customer. Capacity is shared between customers. */
 public record CustomerId(String name) implements Comparable<CustomerId> {
     public static CustomerId of(String name) {
         return new CustomerId(name);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/model/FleetView.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/model/FleetView.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import org.jspecify.annotations.Nullable;
 
-/** The instances that one instance holds to be alive now, itself included, leaving ones marked. */
+/** The instances that one instance considers alive, including itself and draining ones. */
 public record FleetView(Map<InstanceId, Member> members) {
     public static FleetView of(Collection<Member> members) {
         TreeMap<InstanceId, Member> byId = new TreeMap<>();
@@ -18,7 +18,7 @@
         return members.get(id);
     }
 
-    /** The instances that may be given duties and new callers, in the order of their ids. */
+    /** Returns the instances that may become arbiters and receive new callers, in the order of their ids. */
     public List<InstanceId> eligible() {
         return members.values().stream()
                 .filter(member -> !member.leaving())
--- a/kernel/src/main/java/org/marjoramswitch/kernel/model/InstanceId.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/model/InstanceId.java
@@ -1,6 +1,6 @@
 package org.marjoramswitch.kernel.model;
 
-/** The configured name of an entry instance; it outlives restarts, an incarnation does not. */
+/** The configured name of an instance. It survives restarts, unlike an incarnation. */
 public record InstanceId(String name) implements Comparable<InstanceId> {
     public static InstanceId of(String name) {
         return new InstanceId(name);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/model/LoadReport.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/model/LoadReport.java
@@ -1,12 +1,12 @@
 package org.marjoramswitch.kernel.model;
 
 /**
- * A target's own report of its load; it lags.
+ * A target's report of its own load; it lags behind the actual load.
  *
- * @param measuredAtMs when the target took the figures, by the reading instance's clock
- * @param running requests in the target's batch
- * @param queued requests the target has admitted but not yet begun
- * @param maxBatch the largest batch the target runs; 0 where it does not say
+ * @param measuredAtMs when the target measured the load, by the clock of the instance that read the report
+ * @param running requests in the target's current batch
+ * @param queued requests that the target has admitted but not started
+ * @param maxBatch the target's maximum batch size; 0 if not reported
  */
 public record LoadReport(long measuredAtMs, int running, int queued, int maxBatch) {
     public static LoadReport of(long measuredAtMs, int running, int queued, int maxBatch) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/model/Member.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/model/Member.java
@@ -1,12 +1,12 @@
 package org.marjoramswitch.kernel.model;
 
 /**
- * One instance as a membership view shows it.
+ * An instance in a membership view.
  *
- * @param incarnation grows with every restart of the instance; state of an older one is void
- * @param leaving true once the instance has announced its graceful shutdown
- * @param processorMillicores the processor time that the instance may use, in thousandths of a core;
- *     {@link #UNKNOWN_PROCESSOR} where it has not been announced
+ * @param incarnation increases with every restart of the instance; state of an older incarnation is void
+ * @param leaving whether the instance has announced its graceful shutdown
+ * @param processorMillicores processor limit of the instance in thousandths of a core; {@link #UNKNOWN_PROCESSOR} if it
+ *     has not been announced
  */
 public record Member(
         InstanceId id, long incarnation, DataCentreId dataCentre, boolean leaving, int processorMillicores) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/model/PoolId.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/model/PoolId.java
@@ -1,6 +1,6 @@
 package org.marjoramswitch.kernel.model;
 
-/** The name of a pool: the targets that serve one model or one plain service. */
+/** The name of a pool, which is the set of targets that serve one model or one plain service. */
 public record PoolId(String name) implements Comparable<PoolId> {
     public static PoolId of(String name) {
         return new PoolId(name);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/model/PromptPart.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/model/PromptPart.java
@@ -1,9 +1,9 @@
 package org.marjoramswitch.kernel.model;
 
 /**
- * One part of a prompt that other requests may begin with too; engines keep what they have read of it.
+ * A part of a prompt that other prompts may share as a prefix; engines cache the parts that they have processed.
  *
- * @param id names the part's text; the same at every engine
+ * @param id identifies the part's text; equal at all engines
  */
 public record PromptPart(long id, int tokens) {
     public static PromptPart of(long id, int tokens) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/model/RequestSpec.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/model/RequestSpec.java
@@ -3,17 +3,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the decisions know of a caller's request when it arrives; its cost is known only at its end.
+ * The properties of a caller's request that are known at its arrival. Its cost is known only at its end.
  *
  * @param requestId unique within the entry's incarnation
- * @param urgency of RFC 9218, 0 (most urgent) to 7; 3 where the caller names none
- * @param repeatable whether a second execution does no harm
- * @param promptTokens estimated from the body's length
- * @param hintTokens the caller's guess of the output, 0 where none; rough and never trusted alone
- * @param prefixHash hash of the prompt's leading part, 0 where there is none to match
- * @param deadlineMs the time at which a request still waiting is refused; one with a placement also ends then if it runs
- * @param placement what its placement depends on, null for a request that is granted by numbers
- * @param digest the same for requests that are alike in customer, path and body; 0 where that is not known
+ * @param urgency urgency of RFC 9218, from 0 (most urgent) to 7; 3 if the caller specifies none
+ * @param repeatable whether the request may be executed a second time
+ * @param promptTokens prompt tokens, estimated from the body's length
+ * @param hintTokens the caller's estimate of the output tokens, 0 if none; inaccurate and never used alone
+ * @param prefixHash hash of the prompt's leading part, 0 if there is none
+ * @param deadlineMs the time at which a waiting request is rejected; a request with a placement spec also ends then if
+ *     it is running
+ * @param placement properties for the placement, null for a request that is granted by counts of waiting requests
+ * @param digest equal for requests with equal customer, path and body; 0 if unknown
  */
 public record RequestSpec(
         long requestId,
@@ -30,7 +31,7 @@
     public static final int DEFAULT_URGENCY = 3;
     public static final int LOWEST_URGENCY = 7;
 
-    /** A request that is granted by numbers. */
+    /** Creates a request that is granted by counts of waiting requests. */
     public RequestSpec(
             long requestId,
             CustomerId customer,
@@ -44,7 +45,7 @@
         this(requestId, customer, pool, urgency, repeatable, promptTokens, hintTokens, prefixHash, deadlineMs, null);
     }
 
-    /** A request of which is not known whether others are alike. */
+    /** Creates a request without a digest. */
     public RequestSpec(
             long requestId,
             CustomerId customer,
@@ -70,7 +71,7 @@
                 0);
     }
 
-    /** The same request, to be told from others by this digest. */
+    /** Returns the request with this digest. */
     public RequestSpec withDigest(long newDigest) {
         return new RequestSpec(
                 requestId,
--- a/kernel/src/main/java/org/marjoramswitch/kernel/model/RunState.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/model/RunState.java
@@ -1,6 +1,6 @@
 package org.marjoramswitch.kernel.model;
 
-/** What a refusal or failure says of the request's execution. */
+/** Whether a rejected or failed request may have been executed. */
 public enum RunState {
     /** No target has executed or will execute any part of the request. */
     NOT_RUN("not-run"),
--- a/kernel/src/main/java/org/marjoramswitch/kernel/model/TargetId.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/model/TargetId.java
@@ -1,6 +1,6 @@
 package org.marjoramswitch.kernel.model;
 
-/** The name of a target: one model engine or one plain service endpoint. */
+/** The name of a target, which is a model engine or an endpoint of a plain service. */
 public record TargetId(String name) implements Comparable<TargetId> {
     public static TargetId of(String name) {
         return new TargetId(name);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/model/TargetOutcome.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/model/TargetOutcome.java
@@ -1,22 +1,22 @@
 package org.marjoramswitch.kernel.model;
 
-/** How an attempt at a target ended, as the entry's connection to it saw the end. */
+/** The outcome of an attempt at a target, as observed on the entry's connection. */
 public enum TargetOutcome {
-    /** The target's whole answer was read, whatever status it bore. */
+    /** The complete response was read, with any status. */
     COMPLETED(false, false),
-    /** No byte of the request went out, or the target said that it did not start it. */
+    /** No byte of the request was sent, or the target reported that it did not start the request. */
     REFUSED(true, true),
-    /** The request went out and the connection ended before a byte of the answer reached the caller. */
+    /** The request was sent and the connection closed before any byte of the response reached the caller. */
     BROKEN_BEFORE_ANSWER(false, true),
-    /** The answer broke off after a part of it had reached the caller. */
+    /** The connection closed after a part of the response had reached the caller. */
     BROKEN_IN_ANSWER(false, true),
-    /** No progress until the progress timeout, nothing had reached the caller. */
+    /** The progress timeout elapsed before any byte of the response reached the caller. */
     SILENT_BEFORE_ANSWER(false, true),
-    /** No progress until the progress timeout, a part of the answer had reached the caller. */
+    /** The progress timeout elapsed after a part of the response had reached the caller. */
     SILENT_IN_ANSWER(false, true),
-    /** The target's whole answer was read and says that it failed; it may go to the caller if nothing better comes. */
+    /** The complete response was read and reports an error; it is sent to the caller if no retry succeeds. */
     SERVER_ERROR(false, true),
-    /** The entry cancelled the attempt because the caller was gone. */
+    /** The entry cancelled the attempt because the caller disconnected. */
     CANCELLED(false, false);
 
     private final boolean notRun;
@@ -27,22 +27,22 @@
         this.targetFault = targetFault;
     }
 
-    /** True where the attempt certainly executed nothing. */
+    /** Whether the target certainly executed no part of the request. */
     public boolean notRun() {
         return notRun;
     }
 
-    /** True where the outcome counts against the target's health. */
+    /** Whether the outcome counts against the target's health. */
     public boolean targetFault() {
         return targetFault;
     }
 
-    /** True where the connection ended in the middle of the exchange, as it does when the target ends. */
+    /** Whether the connection closed during the exchange, as it does when the target crashes. */
     public boolean brokeOff() {
         return this == BROKEN_BEFORE_ANSWER || this == BROKEN_IN_ANSWER;
     }
 
-    /** True where a part of the answer had reached the caller, so that a new attempt could garble it. */
+    /** Whether a part of the response had reached the caller, so that a new attempt could corrupt it. */
     public boolean answerBegun() {
         return this == BROKEN_IN_ANSWER || this == SILENT_IN_ANSWER;
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/model/Usage.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/model/Usage.java
@@ -1,9 +1,9 @@
 package org.marjoramswitch.kernel.model;
 
 /**
- * What an attempt consumed, as the target reported it or as the entry counted it.
+ * The tokens and time that an attempt used, as reported by the target or counted by the entry.
  *
- * @param targetTimeMs from the send to the last byte
+ * @param targetTimeMs time from sending the request to the last byte of the response
  */
 public record Usage(long promptTokens, long cachedPromptTokens, long outputTokens, long targetTimeMs) {
     public static final Usage NONE = new Usage(0, 0, 0, 0);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/model/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/model/package-info.java
@@ -1,4 +1,4 @@
-/** Value types shared by every decision: names, requests, targets, the membership view. */
+/** Value types of the kernel: names, requests, targets and the membership view. */
 @NullMarked
 package org.marjoramswitch.kernel.model;
 
