--- a/kernel/src/main/java/org/marjoramswitch/kernel/misc/Rendezvous.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/misc/Rendezvous.java
@@ -4,18 +4,18 @@
 import java.util.List;
 import net.openhft.hashing.LongHashFunction;
 
-/** Rendezvous (highest random weight) hashing: every instance ranks the same candidates the same way. */
+/** Rendezvous (highest random weight) hashing: all instances rank the same candidates in the same order. */
 public final class Rendezvous {
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
     private Rendezvous() {}
 
-    /** The weight of a candidate for a key; equal on every instance and Java version. */
+    /** Returns the weight of a candidate for a key; equal on all instances and Java versions. */
     public static long weight(String key, String candidate) {
         return HASH.hashChars(candidate + '\u0000' + key);
     }
 
-    /** The candidates, the one of the highest weight for the key first. */
+    /** Returns the candidates by descending weight for the key. */
     public static <T extends Comparable<T>> List<T> rank(String key, Collection<T> candidates) {
         return candidates.stream()
                 .map(candidate -> new Weighted<>(weight(key, candidate.toString()), candidate))
@@ -24,7 +24,7 @@
                 .toList();
     }
 
-    /** A candidate with its weight, which is computed once and not in each comparison; the heaviest sorts first. */
+    /** A candidate with its weight, computed once instead of in each comparison. Sorts by descending weight. */
     private record Weighted<T extends Comparable<T>>(long weight, T candidate) implements Comparable<Weighted<T>> {
         @Override
         public int compareTo(Weighted<T> other) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/misc/Sha256.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/misc/Sha256.java
@@ -5,11 +5,11 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** SHA-256 without the checked exception, which no Java platform throws. */
+/** SHA-256 without the checked exception, since every Java platform provides the algorithm. */
 public final class Sha256 {
     private Sha256() {}
 
-    /** The hash of the parts, one after the other. */
+    /** Returns the hash of the concatenated parts. */
     public static byte[] of(byte[]... parts) {
         MessageDigest digest = digest();
         for (byte[] part : parts) {
@@ -18,7 +18,7 @@
         return digest.digest();
     }
 
-    /** The hash of a text in UTF-8, in lower-case hex. */
+    /** Returns the hash of the text's UTF-8 bytes in lower-case hex. */
     public static String hex(String text) {
         return HexFormat.of().formatHex(of(text.getBytes(StandardCharsets.UTF_8)));
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/misc/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/misc/package-info.java
@@ -1,4 +1,4 @@
-/** Small helpers without decisions. */
+/** Hashing utilities. */
 @NullMarked
 package org.marjoramswitch.kernel.misc;
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/settings/EngineMemory.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/settings/EngineMemory.java
@@ -1,20 +1,20 @@
 package org.marjoramswitch.kernel.settings;
 
 /**
- * The memory of a model engine.
+ * Memory of a model engine.
  *
- * @param tokens how many tokens running requests and kept prompt parts may take; 0 where not known
- * @param fetchMsPerToken what the transfer of one kept token from another engine takes; 0 where engines do not fetch
+ * @param tokens capacity in tokens for running requests and cached prompt parts; 0 if unknown
+ * @param fetchMsPerToken transfer time of one cached token from another engine; 0 if engines do not fetch
  */
 public record EngineMemory(long tokens, double fetchMsPerToken) {
     public static final EngineMemory UNKNOWN = new EngineMemory(0, 0);
 
-    /** Engines that read for themselves whatever they do not keep. */
+    /** Memory of engines that prefill all prompt tokens that they have not cached. */
     public static EngineMemory of(long tokens) {
         return new EngineMemory(tokens, 0);
     }
 
-    /** Engines that fetch kept prompt parts from one another. */
+    /** Memory of engines that fetch cached prompt parts from one another. */
     public static EngineMemory fetching(long tokens, double fetchMsPerToken) {
         return new EngineMemory(tokens, fetchMsPerToken);
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/settings/FleetSettings.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/settings/FleetSettings.java
@@ -5,7 +5,7 @@
 import org.marjoramswitch.kernel.model.PoolId;
 import org.marjoramswitch.kernel.model.TargetId;
 
-/** One accepted generation of the operators' settings, merged over the teams and checked; maps are sorted by name. */
+/** An accepted generation of the settings, merged from all teams and validated. Maps are sorted by name. */
 public record FleetSettings(
         long generation,
         Map<CustomerId, CustomerSettings> customers,
--- a/kernel/src/main/java/org/marjoramswitch/kernel/settings/PoolSettings.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/settings/PoolSettings.java
@@ -3,16 +3,16 @@
 import org.marjoramswitch.kernel.model.PoolId;
 
 /**
- * A pool.
+ * Settings of a pool.
  *
- * @param cellTargets the largest number of targets in a cell
- * @param promptTokenCost weighted tokens charged for a prompt token that the cache did not hold
- * @param outputTokenCost weighted tokens charged for an output token
- * @param initialEstimateTokens the expected cost of a request of a customer not seen yet
- * @param repeatableByDefault whether a request that does not say may be executed again
+ * @param cellTargets maximum number of targets in a cell
+ * @param promptTokenCost weighted tokens charged per uncached prompt token
+ * @param outputTokenCost weighted tokens charged per output token
+ * @param initialEstimateTokens expected cost of a request of a customer without history
+ * @param repeatableByDefault whether a request may be executed again if it does not specify that
  * @param waitTimeoutMs how long a request may wait for a grant
- * @param progressTimeoutMs how long a target may make no progress on a request
- * @param retryShare retries allowed as a share of the successes
+ * @param progressTimeoutMs how long a target may make no progress on a request before the attempt ends
+ * @param retryShare allowed retries as a share of successful requests
  */
 public record PoolSettings(
         PoolId id,
@@ -32,7 +32,7 @@
     public static final double DEFAULT_RETRY_SHARE = 0.1;
     private static final double DEFAULT_PROMPT_TOKEN_COST = 0.1;
 
-    /** A pool of model engines with every default. */
+    /** Returns default settings of a pool of model engines. */
     public static PoolSettings modelEngines(PoolId id) {
         return new PoolSettings(
                 id,
@@ -47,7 +47,7 @@
                 DEFAULT_RETRY_SHARE);
     }
 
-    /** A pool of plain services with every default; their calls are not repeatable unless the caller says so. */
+    /** Returns default settings of a pool of plain services, whose calls are repeatable only if the caller says so. */
     public static PoolSettings plainServices(PoolId id) {
         return new PoolSettings(
                 id,
--- a/kernel/src/main/java/org/marjoramswitch/kernel/settings/TargetKind.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/settings/TargetKind.java
@@ -1,10 +1,10 @@
 package org.marjoramswitch.kernel.settings;
 
-/** What stands behind a pool. */
+/** The kind of a pool's targets. */
 public enum TargetKind {
-    /** Speaks the OpenAI-compatible protocol; service is counted in weighted tokens. */
+    /** Speaks the OpenAI-compatible protocol; service is measured in weighted tokens. */
     MODEL_ENGINE("model-engine"),
-    /** Plain HTTP; service is counted in target time, one token a millisecond. */
+    /** Plain HTTP; service is measured in target time, one token per millisecond. */
     PLAIN_SERVICE("plain-service");
 
     private final String settingsName;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/settings/TargetSettings.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/settings/TargetSettings.java
@@ -5,14 +5,14 @@
 import org.marjoramswitch.kernel.model.TargetId;
 
 /**
- * A target.
+ * Settings of a target.
  *
- * @param host an IP number
- * @param slots how many requests it may run at once, until its reports teach better
- * @param checksFencing whether it refuses orders with an old fencing number
- * @param memory a model engine's
- * @param startedAtMs when this start of the target was, by its own clock; 0 where it does not tell. One that starts again
- *     under its name is new: it keeps nothing and runs nothing of before.
+ * @param host an IP address
+ * @param slots concurrent requests, used until the target reports its own limit
+ * @param checksFencing whether it rejects orders with an old fencing number
+ * @param memory memory of a model engine
+ * @param startedAtMs start time of the target process by its own clock, 0 if unknown. A target that restarts under the
+ *     same name is a new one, without cached prompts or running requests.
  */
 public record TargetSettings(
         TargetId id,
@@ -24,7 +24,7 @@
         boolean checksFencing,
         EngineMemory memory,
         long startedAtMs) {
-    /** A target that does not tell when it started. */
+    /** Creates settings of a target with an unknown start time. */
     public TargetSettings(
             TargetId id,
             PoolId pool,
@@ -37,7 +37,7 @@
         this(id, pool, host, port, dataCentre, slots, checksFencing, memory, 0);
     }
 
-    /** A target of which the memory is not known. */
+    /** Creates settings of a target with unknown memory. */
     public TargetSettings(
             TargetId id,
             PoolId pool,
--- a/kernel/src/main/java/org/marjoramswitch/kernel/settings/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/settings/package-info.java
@@ -1,4 +1,4 @@
-/** The accepted settings of the fleet as typed records. */
+/** Typed records of the fleet's accepted settings. */
 @NullMarked
 package org.marjoramswitch.kernel.settings;
 
