--- a/kernel/src/main/java/org/marjoramswitch/kernel/InstanceKernel.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/InstanceKernel.java
@@ -99,7 +99,7 @@
         return entry.waiting();
     }
 
-    /** Returns the cells of which this instance is currently an arbiter. */
+    /** Returns the cells that this instance currently arbitrates. */
     public List<CellId> arbitratedCells() {
         return List.copyOf(arbiters.keySet());
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/action/Action.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/action/Action.java
@@ -11,7 +11,7 @@
 /** An output of {@link org.marjoramswitch.kernel.InstanceKernel}, to be carried out by its caller. */
 public sealed interface Action {
 
-    /** Sends a message on the link to a peer; dropped without a link, since a new link re-sends the complete state. */
+    /** Sends a message on the link to a peer. Dropped if there is no link, since entries re-register on a new one. */
     record SendPeer(InstanceId to, PeerMessage message) implements Action {}
 
     /**
--- a/kernel/src/main/java/org/marjoramswitch/kernel/capacity/OutlierEjection.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/capacity/OutlierEjection.java
@@ -24,7 +24,7 @@
         return new OutlierEjection();
     }
 
-    /** Records a successful request, which ends any ejection. */
+    /** Records a successful request, which resets the fault and ejection counts and ends probing. */
     public void succeeded() {
         consecutiveFaults = 0;
         ejections = 0;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/message/PeerMessage.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/message/PeerMessage.java
@@ -43,7 +43,7 @@
     record Unregister(CellId cell) implements PeerMessage {}
 
     /**
-     * Entry to arbiter: {@code added} more of a customer's requests may be granted here (fewer where negative).
+     * Entry to arbiter: {@code added} more of a customer's requests may be granted here (fewer if negative).
      *
      * @param urgency urgency of the customer's most urgent request waiting at the entry
      */
--- a/kernel/src/main/java/org/marjoramswitch/kernel/replay/EventJson.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/replay/EventJson.java
@@ -33,7 +33,7 @@
  * Writes and reads recordings with one JSON object per line: a {@link RecordingHeader}, then the {@link RecordedEvent}s
  * in the order in which the kernel applied them.
  *
- * <p>Collections keep the order in which they were written, so that a replay applies the same events as the kernel did.
+ * <p>Collections keep the order in which they were written, so that a replay applies exactly what the kernel applied.
  * Hashes of API keys are omitted; no decision depends on them.
  */
 public final class EventJson {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/InvariantsTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/InvariantsTest.java
@@ -26,7 +26,7 @@
             fleet.step();
         }
 
-        fleet.settle();
+        fleet.runToCompletion();
 
         assertEquals(0, fleet.openRequests(), () -> "requests without an end: " + fleet);
         assertTrue(fleet.completed() > 0, "nothing was served");
--- a/kernel/src/test/java/org/marjoramswitch/kernel/RandomFleet.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/RandomFleet.java
@@ -117,7 +117,7 @@
     }
 
     /** Runs until no request is open, with complete views, no draining targets and successful attempts. */
-    void settle() {
+    void runToCompletion() {
         leaving.clear();
         kernels.forEach((id, kernel) -> apply(id, new Event.TargetsLeaving(Set.of())));
         shareView();
--- a/kernel/src/test/java/org/marjoramswitch/kernel/TickPaceTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/TickIntervalTest.java
@@ -21,7 +21,7 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /** Guards against short tick intervals on an instance without waiting requests, which cost processor time. */
-class TickPaceTest {
+class TickIntervalTest {
     private static final PoolId POOL = PoolId.of("pool");
     private static final DataCentreId DATA_CENTRE = DataCentreId.of("dc");
 
