--- a/kernel/src/main/java/org/marjoramswitch/kernel/error/ErrorType.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/error/ErrorType.java
@@ -1,8 +1,8 @@
 package org.marjoramswitch.kernel.error;
 
 /**
- * Every failure of the product: its number (stable, never used twice), severity, HTTP status towards callers (0 where
- * no caller sees it) and message template; {@code %s} stands for the failure's detail.
+ * All failures of the program. Each has a number (stable and never reused), a severity, the HTTP status sent to callers
+ * (0 if no caller sees it) and a message template, in which {@code %s} stands for the failure's detail.
  */
 public enum ErrorType {
     MALFORMED_REQUEST(100, Severity.NOTICE, 400, "The request cannot be understood: %s"),
@@ -38,23 +38,24 @@
     SETTINGS_CONFLICT(201, Severity.ERROR, 0, "Two teams define the same name: %s"),
     SETTINGS_WRITE_LOST(202, Severity.WARNING, 0, "Another write came first at %s"),
     LOCAL_SETTINGS_INVALID(203, Severity.ERROR, 0, "The instance's settings file is not valid: %s"),
-    SETTINGS_TOO_LARGE(204, Severity.ERROR, 0, "The settings exceed a limit of size: %s"),
-    SETTINGS_SUPERSEDED(205, Severity.WARNING, 0, "A restored copy of older settings; write them again to apply: %s"),
+    SETTINGS_TOO_LARGE(204, Severity.ERROR, 0, "The settings exceed a size limit: %s"),
+    SETTINGS_SUPERSEDED(
+            205, Severity.WARNING, 0, "The settings are a restored older copy; write them again to apply them: %s"),
     SETTINGS_UNKNOWN_POOL(206, Severity.ERROR, 0, "A target names a pool that no team defines: %s"),
     SETTINGS_POOL_IN_USE(207, Severity.ERROR, 0, "A pool that targets still name cannot be removed: %s"),
-    PLATFORM_UNAVAILABLE(220, Severity.WARNING, 0, "The platform's service does not answer: %s"),
-    PLATFORM_BUDGET_SPENT(221, Severity.WARNING, 0, "The budget of calls to the platform's service is spent"),
-    PLATFORM_REJECTED(222, Severity.ERROR, 0, "The platform's service rejected a call: %s"),
-    FLEET_LIST_INVALID(223, Severity.WARNING, 0, "An entry of the platform's list cannot be read: %s"),
+    PLATFORM_UNAVAILABLE(220, Severity.WARNING, 0, "The platform's key-value store does not respond: %s"),
+    PLATFORM_BUDGET_SPENT(221, Severity.WARNING, 0, "The call budget for the platform's key-value store is exhausted"),
+    PLATFORM_REJECTED(222, Severity.ERROR, 0, "The platform's key-value store rejected a call: %s"),
+    FLEET_LIST_INVALID(223, Severity.WARNING, 0, "An entry of the platform's list cannot be parsed: %s"),
     PEER_UNREACHABLE(240, Severity.WARNING, 0, "The link to a peer failed: %s"),
     PEER_UNAUTHENTICATED(241, Severity.ERROR, 0, "A peer does not know the fleet key: %s"),
     PEER_FRAME_INVALID(242, Severity.ERROR, 0, "A peer's frame cannot be decoded: %s"),
-    RING_FULL(243, Severity.ERROR, 0, "A ring between two duties is full: %s"),
+    RING_FULL(243, Severity.ERROR, 0, "A ring buffer between two threads is full: %s"),
     PLACEMENT_LEASE_LOST(260, Severity.WARNING, 0, "The placement lease is no longer held: %s"),
     PLACEMENT_ORDER_FAILED(261, Severity.WARNING, 0, "An order to a target failed: %s"),
     USAGE(280, Severity.ERROR, 0, "The command line cannot be understood: %s"),
     INPUT_INVALID(281, Severity.ERROR, 0, "An input file is not valid: %s"),
-    DEMO_NOT_STARTED(282, Severity.ERROR, 0, "The demo did not come up: %s"),
+    DEMO_NOT_STARTED(282, Severity.ERROR, 0, "The demo did not start: %s"),
     INTERNAL(300, Severity.ERROR, 500, "An internal error: %s");
 
     private final int number;
@@ -77,17 +78,17 @@
         return severity;
     }
 
-    /** The status of the HTTP answer, or 0 for a failure that no caller sees. */
+    /** The status of the HTTP response, or 0 for a failure that no caller sees. */
     public int httpStatus() {
         return httpStatus;
     }
 
-    /** The message with {@code detail} in the template's place for it. */
+    /** Returns the message template with {@code detail} inserted. */
     public String message(String detail) {
         return template.replace("%s", detail);
     }
 
-    /** How loudly a failure is reported. */
+    /** Severity of a failure in logs and reports. */
     public enum Severity {
         NOTICE,
         WARNING,
