--- a/kernel/src/main/java/org/marjoramswitch/kernel/request/KeyLimits.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/request/KeyLimits.java
@@ -1,14 +1,14 @@
 package org.marjoramswitch.kernel.request;
 
 /**
- * Bounds of a {@link KeyRegistry}.
+ * Limits of a {@link KeyRegistry}.
  *
- * @param maxKeys keys remembered in all
- * @param maxCustomerKeys keys remembered of one customer
- * @param startWindowMs how long after its prefix was handed out a key may begin a request
- * @param memoryMs how long after its prefix was handed out a key is remembered at least; longer than the start window
- * @param replayMs how long an ended answer is given again
- * @param skewMs how far the clocks of two instances may differ
+ * @param maxKeys maximum number of keys
+ * @param maxCustomerKeys maximum number of keys of one customer
+ * @param startWindowMs time after the issue of its prefix for which a key may start a request
+ * @param memoryMs minimum time after the issue of its prefix for which a key is kept; longer than the start window
+ * @param replayMs time after its end for which a response can be replayed
+ * @param skewMs maximum clock difference between two instances
  */
 public record KeyLimits(
         int maxKeys, int maxCustomerKeys, long startWindowMs, long memoryMs, long replayMs, long skewMs) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/request/KeyRegistry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/request/KeyRegistry.java
@@ -13,39 +13,39 @@
 import org.marjoramswitch.kernel.model.RunState;
 
 /**
- * The book that a home instance keeps of the request keys that name it: at most one execution for each key, and no "not
- * run" for a key that ran or will run.
+ * Tracks the request keys of one home instance. Guarantees at most one execution per key, and that "not run" is never
+ * reported for a key that ran or will run.
  *
- * <p><b>Idea.</b> Only the home instance may begin a key's request, and it begins it when the key is first presented.
- * Every later try finds the entry: it follows the running answer, gets the ended one again, or is told what is known. A
- * "not run" is a promise for the future too, because an earlier try may still be under way in the network; so whoever is
- * told "not run" of a key has that key marked dead first, and a dead key never begins.
+ * <p><b>Algorithm:</b> Only the home instance may start a key's request, and it does so when the key is first
+ * presented. Every later attempt finds the entry: it attaches to the running response, gets the ended response
+ * replayed, or receives the known state. "Not run" also covers the future, because an earlier attempt may still be
+ * under way in the network. The key is therefore marked dead before "not run" is reported, and a dead key never starts.
  *
- * <p><b>Bounds.</b> A book of every key ever seen cannot be kept, so the key itself says when its prefix was handed out.
- * A key begins a request only within the start window after that; it is remembered for longer, the memory time. So
- * three ages can be told apart without a memory: young (unseen means new), middle (unseen means never begun, and it
- * never will be: "not run") and old (unseen may mean forgotten: "unknown"). The book is bounded by count as well: where
- * it is full, the customer that brings one more is refused, and instead of one entry for each refused key one number
- * for the customer, the floor, makes every unseen key handed out until now dead. Only a customer with too many keys
- * meets its floor.
+ * <p><b>Bounds:</b> Keeping every key ever seen would need unlimited memory, so a key contains the issue time of its
+ * prefix. A key may start a request only within the start window after its issue, and is kept for longer, the memory
+ * time. Three ages can thus be distinguished without an entry: young (unseen means new), middle (unseen means never
+ * started, and it never will start: "not run") and old (unseen may mean evicted: "unknown"). The number of keys is
+ * limited as well. At the limit, the customer that presents another key is rejected. Instead of one entry per rejected
+ * key, one number per customer, the floor, makes every unseen key issued until now dead. Only customers with too many
+ * keys get a floor.
  *
- * <p><b>Time.</b> Ages compare the clocks of two instances. A clock that goes back would make old keys young again and
- * a forgotten one would run twice, so the registry's time is the latest it was ever told. Clocks that differ cost
- * refusals, never a second execution.
+ * <p><b>Time:</b> Ages compare the clocks of two instances. If a clock went back, old keys would become young again and
+ * an evicted one could run twice, so the registry uses the latest time that it was ever given. Clock differences cause
+ * rejections, never a second execution.
  *
- * <p><b>Customers</b> have books of their own: another customer's key is unseen, so nobody can attach to what is not
- * theirs or learn that it exists.
+ * <p><b>Customers</b> have separate entries: another customer's key is unseen, so nobody can attach to another
+ * customer's request or learn that it exists.
  *
- * <p><b>Example.</b> A caller's connection breaks after it sent its request with key K to its home A. It tries again at
- * B, which asks A. Had the first try reached A, A answers ANSWERING and B sends the caller there, where it gets the
- * whole answer. If not, A marks K dead and answers NEVER_SEEN; B says "not run". The first try, still queued in A's
- * socket, is read a moment later and refused as dead: the "not run" stays true.
+ * <p><b>Example:</b> A caller's connection breaks after it sent its request with key K to its home A. It tries again at
+ * B, which queries A. If the first attempt reached A, A replies ANSWERING and B directs the caller to A, where it
+ * gets the complete response. If not, A marks K dead and replies NEVER_SEEN; B reports "not run". The first attempt,
+ * still queued in A's socket, is read a moment later and rejected as dead, so "not run" remains true.
  *
- * <p><b>Cost.</b> A hash lookup for each call; {@link #expire} walks the book. Not thread-safe.
+ * <p><b>Cost:</b> One hash lookup per call; {@link #expire} iterates over all keys. Not thread-safe.
  */
 public final class KeyRegistry {
     private final KeyLimits limits;
-    private final Map<CustomerId, Book> books = new HashMap<>();
+    private final Map<CustomerId, CustomerKeys> keysByCustomer = new HashMap<>();
     private final Map<Long, Entry> byRequest = new HashMap<>();
     private int size;
     private long nowMs = Long.MIN_VALUE;
@@ -58,62 +58,62 @@
         return new KeyRegistry(limits);
     }
 
-    /** Keys remembered. */
+    /** The number of keys kept. */
     public int size() {
         return size;
     }
 
     /**
-     * A try presents a key of this home and incarnation.
+     * Handles an attempt that presents a key of this home and incarnation.
      *
-     * @param fingerprint of what is to be executed; the same key with another one is refused
-     * @param requestId the id that the request gets if it starts
+     * @param fingerprint hash of the request content; the same key with a different fingerprint is rejected
+     * @param requestId the id of the request if it starts
      */
     public KeyVerdict present(
             CustomerId customer, RequestKey key, long fingerprint, long requestId, long presentedAtMs) {
-        advance(presentedAtMs);
-        Book book = book(customer);
-        Entry known = book.entries.get(key);
-        if (known != null) {
-            return verdict(known, fingerprint);
+        advanceClock(presentedAtMs);
+        CustomerKeys keys = keys(customer);
+        Entry existing = keys.entries.get(key);
+        if (existing != null) {
+            return verdict(existing, fingerprint);
         }
-        Failure refusal = refusalOfUnseen(book, key);
+        Failure refusal = refusalOfUnseen(keys, key);
         if (refusal != null) {
             return new KeyVerdict.Refused(refusal);
         }
-        if (isFull(book)) {
-            raiseFloor(book);
+        if (isFull(keys)) {
+            raiseFloor(keys);
             return new KeyVerdict.Refused(Failure.notRun(ErrorType.KEY_LIMIT, limits.skewMs(), customer.name()));
         }
-        Entry begun = new Entry(key, book, KeyState.WAITING, fingerprint, requestId);
-        add(begun);
-        byRequest.put(requestId, begun);
+        Entry started = new Entry(key, keys, KeyState.WAITING, fingerprint, requestId);
+        add(started);
+        byRequest.put(requestId, started);
         return new KeyVerdict.Start();
     }
 
     /**
-     * What became of a key, asked on behalf of a try elsewhere. A key that has not begun is dead afterwards, so that
-     * the "not run" which the asker will say stays true.
+     * Returns the state of a key for an attempt at another instance. A key that has not started is marked dead, so that
+     * the "not run" reported by the other instance remains true.
      */
     public KeyState query(CustomerId customer, RequestKey key, long askedAtMs) {
-        advance(askedAtMs);
-        Book book = book(customer);
-        Entry known = book.entries.get(key);
-        if (known != null) {
-            return known.state;
+        advanceClock(askedAtMs);
+        CustomerKeys keys = keys(customer);
+        Entry existing = keys.entries.get(key);
+        if (existing != null) {
+            return existing.state;
         }
-        if (isForgettable(key) || isAhead(key)) {
+        if (isPastMemory(key) || isFromFuture(key)) {
             return KeyState.FORGOTTEN;
         }
-        if (mayStart(book, key)) {
-            markDead(book, key);
+        if (mayStart(keys, key)) {
+            markDead(keys, key);
         }
         return KeyState.NEVER_SEEN;
     }
 
     /**
-     * A refusal of a try that carries a key, as it may be told: where the refusal says "not run", the key is dead from
-     * now on, or else the refusal says "unknown" because another try of the same request has begun.
+     * Returns the failure to report for a rejected attempt that carries a key. A "not run" marks the key dead; if
+     * another attempt of the same request has started, the failure becomes "unknown".
      */
     public Failure refuse(CustomerId customer, RequestKey key, Failure failure, long refusedAtMs) {
         if (failure.run() != RunState.NOT_RUN) {
@@ -126,19 +126,19 @@
                 : new Failure(failure.type(), RunState.UNKNOWN, failure.retryAfterMs(), failure.detail());
     }
 
-    /** A request was sent to a target. */
+    /** Records that a request was sent to a target. */
     public void sent(long requestId) {
-        move(requestId, KeyState.SENT);
+        advanceState(requestId, KeyState.SENT);
     }
 
-    /** The head of a request's answer has come. */
+    /** Records that the response head of a request has arrived. */
     public void responseStarted(long requestId) {
-        move(requestId, KeyState.ANSWERING);
+        advanceState(requestId, KeyState.ANSWERING);
     }
 
-    /** @param notRun whether the request ended without an execution; its key is dead then */
+    /** @param notRun whether the request ended without an execution, which marks its key dead */
     public void ended(long requestId, boolean notRun, long endedAtMs) {
-        advance(endedAtMs);
+        advanceClock(endedAtMs);
         Entry entry = byRequest.get(requestId);
         if (entry == null) {
             return;
@@ -150,86 +150,87 @@
         }
     }
 
-    /** The answer of an ended request is not kept any longer. */
+    /** Records that the response of an ended request is no longer kept. */
     public void responseDropped(long requestId) {
         Entry entry = byRequest.remove(requestId);
         if (entry != null) {
-            entry.answerKept = false;
+            entry.responseKept = false;
         }
     }
 
-    /** Forgets what is old enough; answers the ended requests whose answers need not be kept any longer. */
+    /** Evicts expired keys; returns the ended requests whose responses need not be kept any longer. */
     public List<Long> expire(long atMs) {
-        advance(atMs);
+        advanceClock(atMs);
         List<Long> dropped = new ArrayList<>();
-        for (Book book : books.values()) {
-            book.entries.values().removeIf(entry -> expire(entry, dropped));
+        for (CustomerKeys keys : keysByCustomer.values()) {
+            keys.entries.values().removeIf(entry -> expire(entry, dropped));
         }
-        books.values().removeIf(book -> book.entries.isEmpty() && isBelowStart(book.floorS));
+        keysByCustomer.values().removeIf(keys -> keys.entries.isEmpty() && isPastStartWindow(keys.floorS));
         return dropped;
     }
 
     private boolean expire(Entry entry, List<Long> dropped) {
-        if (!entry.isOver()) {
+        if (!entry.hasEnded()) {
             return false;
         }
-        boolean replayOver = nowMs - entry.endedMs >= limits.replayMs();
-        if (replayOver && byRequest.remove(entry.requestId, entry)) {
-            entry.answerKept = false;
+        boolean replayExpired = nowMs - entry.endedMs >= limits.replayMs();
+        if (replayExpired && byRequest.remove(entry.requestId, entry)) {
+            entry.responseKept = false;
             dropped.add(entry.requestId);
         }
-        if (!replayOver || !isForgettable(entry.key)) {
+        if (!replayExpired || !isPastMemory(entry.key)) {
             return false;
         }
         size--;
         return true;
     }
 
-    private KeyVerdict verdict(Entry known, long fingerprint) {
-        if (known.state == KeyState.DEAD) {
+    private KeyVerdict verdict(Entry existing, long fingerprint) {
+        if (existing.state == KeyState.DEAD) {
             return new KeyVerdict.Refused(Failure.notRun(ErrorType.KEY_DEAD, 0, ""));
         }
-        if (known.fingerprint != fingerprint) {
-            // Not run is true of what this try brought: the key runs what it was first presented with, or nothing.
+        if (existing.fingerprint != fingerprint) {
+            // "Not run" is true for this attempt's content: a key runs only the content that it was first presented
+            // with.
             return new KeyVerdict.Refused(Failure.notRun(ErrorType.KEY_IN_USE, 0, ""));
         }
-        if (known.state != KeyState.ENDED) {
-            return new KeyVerdict.Attach(known.requestId);
+        if (existing.state != KeyState.ENDED) {
+            return new KeyVerdict.Attach(existing.requestId);
         }
-        return known.answerKept
-                ? new KeyVerdict.Replay(known.requestId)
+        return existing.responseKept
+                ? new KeyVerdict.Replay(existing.requestId)
                 : new KeyVerdict.Refused(Failure.unknown(ErrorType.ANSWER_NOT_KEPT, ""));
     }
 
-    private @Nullable Failure refusalOfUnseen(Book book, RequestKey key) {
-        if (isForgettable(key)) {
+    private @Nullable Failure refusalOfUnseen(CustomerKeys keys, RequestKey key) {
+        if (isPastMemory(key)) {
             return Failure.unknown(ErrorType.KEY_OUTCOME_UNKNOWN, "");
         }
-        if (isAhead(key)) {
-            // It may begin once this clock has come as far, so "not run" would not be a promise.
+        if (isFromFuture(key)) {
+            // The key may start once this clock has caught up, so "not run" could become false.
             return Failure.unknown(ErrorType.KEY_OUTCOME_UNKNOWN, "");
         }
-        return mayStart(book, key) ? null : Failure.notRun(ErrorType.KEY_DEAD, 0, "");
+        return mayStart(keys, key) ? null : Failure.notRun(ErrorType.KEY_DEAD, 0, "");
     }
 
-    private boolean mayStart(Book book, RequestKey key) {
-        return !isBelowStart(key.issuedS()) && key.issuedS() > book.floorS;
+    private boolean mayStart(CustomerKeys keys, RequestKey key) {
+        return !isPastStartWindow(key.issuedS()) && key.issuedS() > keys.floorS;
     }
 
-    private boolean isBelowStart(long issuedS) {
+    private boolean isPastStartWindow(long issuedS) {
         return ageMs(issuedS) > limits.startWindowMs();
     }
 
-    private boolean isForgettable(RequestKey key) {
+    private boolean isPastMemory(RequestKey key) {
         return ageMs(key.issuedS()) > limits.memoryMs();
     }
 
-    private boolean isAhead(RequestKey key) {
+    private boolean isFromFuture(RequestKey key) {
         return ageMs(key.issuedS()) < -limits.skewMs();
     }
 
     private long ageMs(long issuedS) {
-        // Compared in seconds first: a forged time must not overflow.
+        // Compares in seconds first, since a forged time could overflow in milliseconds.
         long nowS = TimeUnit.MILLISECONDS.toSeconds(nowMs);
         if (issuedS > nowS + TimeUnit.DAYS.toSeconds(1)) {
             return Long.MIN_VALUE;
@@ -237,70 +238,70 @@
         return nowMs - TimeUnit.SECONDS.toMillis(issuedS);
     }
 
-    private boolean isFull(Book book) {
-        return size >= limits.maxKeys() || book.entries.size() >= limits.maxCustomerKeys();
+    private boolean isFull(CustomerKeys keys) {
+        return size >= limits.maxKeys() || keys.entries.size() >= limits.maxCustomerKeys();
     }
 
-    private void markDead(Book book, RequestKey key) {
-        if (isFull(book)) {
-            raiseFloor(book);
+    private void markDead(CustomerKeys keys, RequestKey key) {
+        if (isFull(keys)) {
+            raiseFloor(keys);
             return;
         }
-        Entry dead = new Entry(key, book, KeyState.DEAD, 0, 0);
+        Entry dead = new Entry(key, keys, KeyState.DEAD, 0, 0);
         dead.endedMs = nowMs;
         add(dead);
     }
 
-    /** Makes every unseen key of the customer dead that may have been handed out until now. */
-    private void raiseFloor(Book book) {
-        book.floorS = Math.max(book.floorS, TimeUnit.MILLISECONDS.toSeconds(nowMs + limits.skewMs()));
+    /** Makes every unseen key of the customer dead that may have been issued until now. */
+    private void raiseFloor(CustomerKeys keys) {
+        keys.floorS = Math.max(keys.floorS, TimeUnit.MILLISECONDS.toSeconds(nowMs + limits.skewMs()));
     }
 
     private void add(Entry entry) {
-        entry.book.entries.put(entry.key, entry);
+        entry.keys.entries.put(entry.key, entry);
         size++;
     }
 
-    private void move(long requestId, KeyState state) {
+    private void advanceState(long requestId, KeyState state) {
         Entry entry = byRequest.get(requestId);
-        if (entry != null && !entry.isOver()) {
+        if (entry != null && !entry.hasEnded()) {
             entry.state = state;
         }
     }
 
-    private Book book(CustomerId customer) {
-        return books.computeIfAbsent(customer, ignored -> new Book());
+    private CustomerKeys keys(CustomerId customer) {
+        return keysByCustomer.computeIfAbsent(customer, ignored -> new CustomerKeys());
     }
 
-    private void advance(long toMs) {
+    private void advanceClock(long toMs) {
         nowMs = Math.max(nowMs, toMs);
     }
 
-    /** One customer's keys. */
-    private static final class Book {
+    /** Keys and floor of one customer. */
+    private static final class CustomerKeys {
         private final Map<RequestKey, Entry> entries = new HashMap<>();
         private long floorS;
     }
 
-    /** What is remembered of one key. */
+    /** State of one key. */
     private static final class Entry {
         private final RequestKey key;
-        private final Book book;
+        private final CustomerKeys keys;
         private final long fingerprint;
         private final long requestId;
         private KeyState state;
         private long endedMs;
-        private boolean answerKept = true;
+        private boolean responseKept = true;
 
-        Entry(RequestKey key, Book book, KeyState state, long fingerprint, long requestId) {
+        Entry(RequestKey key, CustomerKeys keys, KeyState state, long fingerprint, long requestId) {
             this.key = key;
-            this.book = book;
+            this.keys = keys;
             this.state = state;
             this.fingerprint = fingerprint;
             this.requestId = requestId;
         }
 
-        private boolean isOver() {
+        private boolean hasEnded() {
             return state == KeyState.ENDED || state == KeyState.DEAD;
         }
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/request/KeyVerdict.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/request/KeyVerdict.java
@@ -2,17 +2,17 @@
 
 import org.marjoramswitch.kernel.error.Failure;
 
-/** What is to be done with a try that presents a key. */
+/** How to proceed with an attempt that presents a key. */
 public sealed interface KeyVerdict {
-    /** The request is new: run it, this once. */
+    /** The request is new: run it. */
     record Start() implements KeyVerdict {}
 
-    /** The request runs already: follow its answer. */
+    /** The request is already running: attach to its response. */
     record Attach(long requestId) implements KeyVerdict {}
 
-    /** The request has ended and its answer is kept: give it again. */
+    /** The request has ended and its response is kept: replay it. */
     record Replay(long requestId) implements KeyVerdict {}
 
-    /** Tell the caller this and do nothing. */
+    /** The attempt is rejected with this failure; nothing runs. */
     record Refused(Failure failure) implements KeyVerdict {}
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/request/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/request/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What one request of a caller is, over all of the caller's tries: the key that names it and the book that its home
- * instance keeps of it.
+ * Identifies a request across all of the caller's attempts: request keys, and the registry of keys that each home
+ * instance keeps.
  */
 @NullMarked
 package org.marjoramswitch.kernel.request;
--- a/kernel/src/test/java/org/marjoramswitch/kernel/request/KeyRegistryTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/request/KeyRegistryTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aRetryAttachesWhileItRunsAndReplaysAfterwards() {
+    void retryAttachesToARunningRequestAndReplaysAnEndedOne() {
         RequestKey key = key(NOW_MS, "k");
         assertEquals(new KeyVerdict.Start(), registry.present(ONE, key, 7, 1, NOW_MS));
         assertEquals(new KeyVerdict.Attach(1), registry.present(ONE, key, 7, 2, NOW_MS));
@@ -57,26 +57,27 @@
     }
 
     @Test
-    void anotherBodyIsRefusedAndAnotherCustomerSeesNothing() {
+    void differentBodyIsRejectedAndKeysOfOtherCustomersAreUnseen() {
         RequestKey key = key(NOW_MS, "k");
         registry.present(ONE, key, 7, 1, NOW_MS);
         assertEquals(ErrorType.KEY_IN_USE, refusal(registry.present(ONE, key, 8, 2, NOW_MS), RunState.NOT_RUN));
         assertEquals(new KeyVerdict.Start(), registry.present(TWO, key, 7, 3, NOW_MS));
     }
 
-    // A retry at another instance asks before the first try has been read here. It is told "not run"; the first try,
-    // read a moment later, must not run.
+    // A retry at another instance queries the key before the first attempt has been read here. It is reported as "not
+    // run";
+    // the first attempt, read a moment later, must not run.
     @Test
-    void aKeyThatWasAskedForNeverRuns() {
+    void queriedKeyNeverRuns() {
         RequestKey key = key(NOW_MS, "k");
         assertEquals(KeyState.NEVER_SEEN, registry.query(ONE, key, NOW_MS));
         assertEquals(ErrorType.KEY_DEAD, refusal(registry.present(ONE, key, 7, 1, NOW_MS), RunState.NOT_RUN));
     }
 
-    // Two tries of one request cross. The first is refused by a full queue and its caller is told "not run"; the second
-    // comes when there is room, and must not run.
+    // Two attempts of one request overlap. The first is rejected by a full queue and reported as "not run"; the second
+    // arrives when the queue has capacity, and must not run.
     @Test
-    void aKeyOfARequestThatEndedNotRunIsDead() {
+    void keyOfARequestThatEndedAsNotRunIsDead() {
         RequestKey key = key(NOW_MS, "k");
         registry.present(ONE, key, 7, 1, NOW_MS);
         registry.ended(1, true, NOW_MS);
@@ -84,7 +85,7 @@
     }
 
     @Test
-    void aRefusalSaysUnknownWhereAnotherTryHasBegun() {
+    void rejectionIsUnknownIfAnotherAttemptHasStarted() {
         RequestKey key = key(NOW_MS, "k");
         Failure full = Failure.notRun(ErrorType.ENTRY_QUEUE_FULL, 5, "");
         registry.present(ONE, key, 7, 1, NOW_MS);
@@ -95,7 +96,7 @@
     }
 
     @Test
-    void ageDecidesWhatAnUnseenKeyMeans() {
+    void stateOfAnUnseenKeyDependsOnItsAge() {
         assertEquals(
                 ErrorType.KEY_DEAD,
                 refusal(registry.present(ONE, key(NOW_MS - 21_000, "k"), 7, 1, NOW_MS), RunState.NOT_RUN));
@@ -109,10 +110,10 @@
                 RunState.UNKNOWN);
     }
 
-    // A customer fills its part of the book. Its next keys are refused for good, until it asks for a new prefix;
-    // nobody else is.
+    // A customer reaches its limit of keys. Its other keys are rejected permanently, until it gets a new prefix; other
+    // customers are not affected.
     @Test
-    void aFullBookRefusesItsCustomerAlone() {
+    void keyLimitRejectsOnlyItsCustomer() {
         for (int i = 0; i < 4; i++) {
             registry.present(ONE, key(NOW_MS, "k" + i), 7, i, NOW_MS);
         }
@@ -130,7 +131,7 @@
     }
 
     @Test
-    void keysAreReadFromTheRight() {
+    void instanceNameMayContainTheSeparator() {
         RequestKey key = RequestKey.of(InstanceId.of("hall:1"), 1_733_160_000_000L, 1_733_160_123L, "A-b_9.~");
         assertEquals(key, RequestKey.parse(key.toString()));
         assertEquals(null, RequestKey.parse("a:1:1:"));
@@ -141,23 +142,23 @@
 
     @Property(tries = 2_000, seed = "20240611")
     void atMostOneExecutionAndNoFalseNotRun(@ForAll long seed) {
-        RandomTries tries = new RandomTries(new Random(seed));
+        RandomOperations operations = new RandomOperations(new Random(seed));
         for (int step = 0; step < 200; step++) {
-            tries.step();
+            operations.step();
         }
     }
 
-    /** Tries, queries, ends and expiry in random order, some with a clock that goes back. */
-    private static final class RandomTries {
+    /** Runs attempts, queries, ends and expiry in random order, some with a clock that goes back. */
+    private static final class RandomOperations {
         private final Random random;
         private final KeyRegistry registry = KeyRegistry.create(LIMITS);
         private final Set<String> started = new HashSet<>();
-        private final Set<String> saidNotRun = new HashSet<>();
+        private final Set<String> reportedNotRun = new HashSet<>();
         private final Map<Long, String> running = new HashMap<>();
         private long nowMs = NOW_MS;
         private long lastRequestId;
 
-        RandomTries(Random random) {
+        RandomOperations(Random random) {
             this.random = random;
         }
 
@@ -173,7 +174,7 @@
                 case 4 -> end();
                 default -> registry.expire(nowMs);
             }
-            assertTrue(registry.size() <= LIMITS.maxKeys(), "the book is bounded");
+            assertTrue(registry.size() <= LIMITS.maxKeys(), "the registry exceeds its limit of keys");
         }
 
         private void present(CustomerId customer, RequestKey key, String name) {
@@ -181,20 +182,20 @@
             KeyVerdict verdict = registry.present(customer, key, 7, requestId, nowMs);
             if (verdict instanceof KeyVerdict.Start) {
                 assertTrue(started.add(name), () -> name + " started twice");
-                assertTrue(!saidNotRun.contains(name), () -> name + " runs after not run was said");
+                assertTrue(!reportedNotRun.contains(name), () -> name + " started after it was reported as not run");
                 running.put(requestId, name);
             } else if (verdict instanceof KeyVerdict.Refused refused
                     && refused.failure().run() == RunState.NOT_RUN) {
-                notRun(name);
+                recordNotRun(name);
             } else if (verdict instanceof KeyVerdict.Attach attach) {
-                assertEquals(name, running.get(attach.requestId()), "only its own request is followed");
+                assertEquals(name, running.get(attach.requestId()), "attached to the request of another key");
             }
         }
 
         private void query(CustomerId customer, RequestKey key, String name) {
             KeyState state = registry.query(customer, key, nowMs);
             if (state == KeyState.NEVER_SEEN || state == KeyState.DEAD) {
-                notRun(name);
+                recordNotRun(name);
             }
         }
 
@@ -209,13 +210,13 @@
             registry.ended(requestId, notRun, nowMs);
             if (notRun) {
                 started.remove(name);
-                saidNotRun.add(name);
+                reportedNotRun.add(name);
             }
         }
 
-        private void notRun(String name) {
-            assertTrue(!started.contains(name), () -> "not run was said of " + name + ", which ran");
-            saidNotRun.add(name);
+        private void recordNotRun(String name) {
+            assertTrue(!started.contains(name), () -> name + " reported as not run, but was started");
+            reportedNotRun.add(name);
         }
     }
 }
