--- a/kernel/src/main/java/org/marjoramswitch/kernel/crash/PoisonRequestGossip.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/crash/PoisonRequestGossip.java
@@ -12,20 +12,20 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * Keeps the {@link PoisonRequests} of all instances the same: what one learns it tells all others with its next tick, and
- * who comes anew is told all by each. A harmful request goes to any instance; one that learned only from its own targets
- * would let it end as many as each of the others.
+ * Replicates {@link PoisonRequests} between all instances: each instance sends new crash reports to all others with its
+ * next tick, and all of its reports to a peer whose link comes up. Without replication a poison request could crash the
+ * limit of targets once per instance, since it may arrive at any of them.
  *
- * <p>It costs a message to each peer for each tick in which something was learned; a target's end is known to those
- * instances that had requests there, each of which tells of all of these at once.
+ * <p>Cost: one message to each peer for each tick with new reports. A target's crash is observed by those instances
+ * that had requests there, and each reports all of these in one update.
  */
 public final class PoisonRequestGossip {
-    /** News in one message; what is more waits for the next tick. */
-    private static final int MOST_IN_MESSAGE = 128;
+    /** Maximum crashes, and maximum served requests, per message; the remainder is sent with the next tick. */
+    private static final int MAX_PER_MESSAGE = 128;
 
-    private final PoisonRequests records = PoisonRequests.create();
-    private final Set<RequestCrash> crashesToTell = new LinkedHashSet<>();
-    private final Set<Long> servedToTell = new LinkedHashSet<>();
+    private final PoisonRequests poisonRequests = PoisonRequests.create();
+    private final Set<RequestCrash> unsentCrashes = new LinkedHashSet<>();
+    private final Set<Long> unsentServed = new LinkedHashSet<>();
 
     private PoisonRequestGossip() {}
 
@@ -33,61 +33,62 @@
         return new PoisonRequestGossip();
     }
 
-    public PoisonRequests records() {
-        return records;
+    public PoisonRequests poisonRequests() {
+        return poisonRequests;
     }
 
-    /** A target ended under a request of this instance; false where that is known. */
-    public boolean crashed(RequestCrash crash, long nowMs) {
-        return records.add(crash, nowMs) && crashesToTell.add(crash);
+    /** Records that a target crashed under a request of this instance; false if the crash is already known. */
+    public boolean targetCrashed(RequestCrash crash, long nowMs) {
+        return poisonRequests.add(crash, nowMs) && unsentCrashes.add(crash);
     }
 
-    /** A request of this instance was answered whole. */
-    public void served(long digest) {
-        if (records.clear(digest)) {
-            crashesToTell.removeIf(crash -> crash.digest() == digest);
-            servedToTell.add(digest);
+    /** Clears a request of this instance that got a complete response. */
+    public void requestServed(long digest) {
+        if (poisonRequests.clear(digest)) {
+            unsentCrashes.removeIf(crash -> crash.digest() == digest);
+            unsentServed.add(digest);
         }
     }
 
     /**
-     * Takes what a peer has learned; what was served is cleared first, since what came after it is told as well.
+     * Applies a peer's update. Served requests are cleared first: crashes after the service are part of the same
+     * update.
      *
-     * @return the requests of which something new is known
+     * @return the digests of the requests with new crashes
      */
-    public Set<Long> received(CrashNews news, long nowMs) {
-        news.served().forEach(records::clear);
+    public Set<Long> received(CrashNews update, long nowMs) {
+        update.served().forEach(poisonRequests::clear);
         Set<Long> changed = new LinkedHashSet<>();
-        for (RequestCrash crash : news.crashes()) {
-            if (records.add(crash, nowMs)) {
+        for (RequestCrash crash : update.crashes()) {
+            if (poisonRequests.add(crash, nowMs)) {
                 changed.add(crash.digest());
             }
         }
         return changed;
     }
 
-    /** Whether anything was learned that the peers have not been told. */
-    public boolean hasNews() {
-        return !crashesToTell.isEmpty() || !servedToTell.isEmpty();
+    /** Whether there are reports that have not been sent to the peers. */
+    public boolean hasUpdates() {
+        return !unsentCrashes.isEmpty() || !unsentServed.isEmpty();
     }
 
-    /** Tells the peers what was learned since the last time. */
-    public void tell(Collection<InstanceId> peers, ActionSink sink) {
-        CrashNews news = new CrashNews(take(crashesToTell), take(servedToTell));
-        peers.forEach(peer -> sink.accept(new Action.SendPeer(peer, news)));
+    /** Sends unsent reports to the peers. */
+    public void publish(Collection<InstanceId> peers, ActionSink sink) {
+        CrashNews update = new CrashNews(take(unsentCrashes), take(unsentServed));
+        peers.forEach(peer -> sink.accept(new Action.SendPeer(peer, update)));
     }
 
-    /** A new link to a peer came up: it may have started anew, or have missed what was told. */
+    /** Sends all crash reports over a new link: the peer may have restarted or may have missed updates. */
     public void connected(InstanceId peer, long nowMs, ActionSink sink) {
-        List<RequestCrash> all = records.all(nowMs);
+        List<RequestCrash> all = poisonRequests.all(nowMs);
         if (!all.isEmpty()) {
             sink.accept(new Action.SendPeer(peer, new CrashNews(all, List.of())));
         }
     }
 
-    private static <T> List<T> take(Set<T> waiting) {
-        List<T> taken = new ArrayList<>(waiting).subList(0, Math.min(MOST_IN_MESSAGE, waiting.size()));
-        taken.forEach(waiting::remove);
+    private static <T> List<T> take(Set<T> unsent) {
+        List<T> taken = new ArrayList<>(unsent).subList(0, Math.min(MAX_PER_MESSAGE, unsent.size()));
+        taken.forEach(unsent::remove);
         return List.copyOf(taken);
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/crash/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/crash/package-info.java
@@ -1,4 +1,4 @@
-/** Requests that end the targets that run them: what is known of them, and how instances tell one another. */
+/** Detects poison requests, which crash the targets that run them, and shares the reports between instances. */
 @NullMarked
 package org.marjoramswitch.kernel.crash;
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/ArbiterBackoffs.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/ArbiterBackoffs.java
@@ -5,32 +5,35 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * Tracks arbiters whose answers are late, and passes them over until a backoff has elapsed. The backoff doubles when the
- * answers are late again soon after it.
+ * Tracks arbiters whose responses are late and excludes them until a backoff has elapsed. The backoff doubles if
+ * responses are late again soon after it.
  *
- * <p>An arbiter without enough processor time still sends messages, so it does not count as silent. If entries kept asking
- * it, its backlog would fill with requests whose callers have given up.
+ * <p>An arbiter without enough processor time still sends messages, so it does not count as silent. If entries
+ * continued to use it, its backlog would fill with requests that their callers have abandoned.
  */
 final class ArbiterBackoffs {
     /** A stall of this length delays first bytes by about their objective. */
-    private static final long LATE_MS = 400;
+    private static final long LATE_RESPONSE_MS = 400;
 
     private static final long FIRST_BACKOFF_MS = 2_000;
     private static final long MAX_BACKOFF_MS = 16_000;
 
     private final Map<InstanceId, Backoff> backoffs = new TreeMap<>();
 
-    /** @param delayMs between question and answer, without the time for which the arbiter kept the request waiting */
+    /**
+     * @param delayMs time between placement request and response, without the time for which the arbiter held the
+     *     request
+     */
     static boolean isLate(long delayMs) {
-        return delayMs >= LATE_MS;
+        return delayMs >= LATE_RESPONSE_MS;
     }
 
     /**
-     * An answer is late or overdue.
+     * Records a late or overdue response.
      *
-     * @return the backoff that begins now; 0 where the arbiter is in one
+     * @return the length of the backoff that begins; 0 if the arbiter is already in backoff
      */
-    long late(InstanceId arbiter, long nowMs) {
+    long recordLateResponse(InstanceId arbiter, long nowMs) {
         if (isInBackoff(arbiter, nowMs)) {
             return 0;
         }
@@ -41,7 +44,7 @@
         return lengthMs;
     }
 
-    /** Whether the arbiter is not to be asked now. */
+    /** Whether the arbiter must not be used now. */
     boolean isInBackoff(InstanceId arbiter, long nowMs) {
         return backoffs.getOrDefault(arbiter, Backoff.NONE).untilMs > nowMs;
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/AttemptRules.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/AttemptRules.java
@@ -5,19 +5,23 @@
 import org.marjoramswitch.kernel.model.PlacementSpec;
 import org.marjoramswitch.kernel.model.TargetOutcome;
 
-/** What the end of one attempt means: for another attempt, for the caller, and for the arbiter. */
+/** Maps the outcome of an attempt to a retry decision, an error for the caller and a placement end for the arbiter. */
 final class AttemptRules {
-    /** Attempts per request at most, whatever the retry budget holds. */
-    private static final int MOST_ATTEMPTS = 4;
+    /** Maximum attempts per request, regardless of the retry budget. */
+    private static final int MAX_ATTEMPTS = 4;
 
     private static final long RETRY_AFTER_MS = 1_000;
 
     private AttemptRules() {}
 
-    /** Whether a request may be sent once more: where it harms nobody, and there is time for it. */
+    /**
+     * Whether another attempt is safe and in time: the deadline has not passed, and either no attempt may have executed
+     * the request or it is declared repeatable. After the response has begun, only resumable placed requests are
+     * retried.
+     */
     static boolean mayRetry(EntryRequest request, TargetOutcome outcome, long nowMs) {
         PlacementSpec placement = request.spec().placement();
-        if (request.attempts() >= MOST_ATTEMPTS || nowMs >= request.spec().deadlineMs()) {
+        if (request.attempts() >= MAX_ATTEMPTS || nowMs >= request.spec().deadlineMs()) {
             return false;
         }
         if (placement != null && request.executions() >= placement.attempts()) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/CellLink.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/CellLink.java
@@ -7,7 +7,7 @@
 import org.marjoramswitch.kernel.model.CustomerId;
 import org.marjoramswitch.kernel.model.InstanceId;
 
-/** What an entry holds of its relation to one cell's arbiter. */
+/** Holds this entry's registration state with the arbiter of one cell. */
 final class CellLink {
     private final CellId cell;
     private final Map<CustomerId, Integer> offered = new TreeMap<>();
@@ -15,7 +15,7 @@
     private @Nullable InstanceId arbiter;
     private boolean registered;
     private boolean holdingsChanged;
-    private boolean succeeding;
+    private boolean successor;
     private long arbiterSinceMs;
     private long lastSequence;
     private long lastUsedMs;
@@ -34,63 +34,63 @@
         return arbiter;
     }
 
-    boolean registered() {
+    boolean isRegistered() {
         return registered;
     }
 
-    /** When the present arbiter was first named here. */
+    /** When this entry began to use the current arbiter. */
     long arbiterSinceMs() {
         return arbiterSinceMs;
     }
 
-    /** Whether the present arbiter follows another one, so that it has to collect registrations first. */
-    boolean succeeding() {
-        return succeeding;
+    /** Whether the current arbiter replaced another one and therefore collects registrations before it grants. */
+    boolean isSuccessor() {
+        return successor;
     }
 
     long lastUsedMs() {
         return lastUsedMs;
     }
 
-    void used(long nowMs) {
+    void markUsed(long nowMs) {
         lastUsedMs = nowMs;
     }
 
-    /** Names another arbiter, which knows nothing of this entry yet. */
-    void follow(@Nullable InstanceId newArbiter, long nowMs) {
-        succeeding = arbiter != null;
+    /** Switches to another arbiter, which has no registration of this entry yet. */
+    void changeArbiter(@Nullable InstanceId newArbiter, long nowMs) {
+        successor = arbiter != null;
         arbiter = newArbiter;
         arbiterSinceMs = nowMs;
         lastSequence = 0;
         barrierProbe = 0;
-        unregistered();
+        markUnregistered();
     }
 
-    void unregistered() {
+    void markUnregistered() {
         registered = false;
         offered.clear();
     }
 
-    void registeredNow() {
+    void markRegistered() {
         registered = true;
         holdingsChanged = false;
     }
 
     /**
-     * Whether grants of the arbiter may still be from before this entry's last registration with it. An arbiter that was
-     * left and is taken back may have granted from its old books; the probe sent ahead of the registration comes back
-     * behind the last such grant, since a link keeps order.
+     * Whether grants that arrive now may predate this entry's last registration. An arbiter that is used again after an
+     * absence may have granted from outdated state. Links preserve order, so the reply to the probe sent before the
+     * registration arrives after the last such grant.
      */
-    boolean behindBarrier() {
+    boolean awaitsBarrier() {
         return barrierProbe != 0;
     }
 
-    void barrier(long probe) {
+    void setBarrier(long probe) {
         barrierProbe = probe;
     }
 
-    /** A probe was answered: whatever was sent before it has come. */
-    void answered(long probe) {
+    /** Removes the barrier: everything that the arbiter sent before its reply to the probe has arrived. */
+    void probeAnswered(long probe) {
         if (probe >= barrierProbe) {
             barrierProbe = 0;
         }
@@ -109,11 +109,11 @@
         return lastSequence;
     }
 
-    void granted(long sequence) {
+    void recordGrant(long sequence) {
         lastSequence = Math.max(lastSequence, sequence);
     }
 
-    /** How many of the customer's requests the arbiter may still grant here, as far as this entry knows. */
+    /** The number of the customer's requests that are offered to the arbiter and not yet granted. */
     int offered(CustomerId customer) {
         return offered.getOrDefault(customer, 0);
     }
@@ -126,7 +126,7 @@
         offered.put(customer, requests);
     }
 
-    /** Whether requests wait for this arbiter's grants. */
+    /** Whether this entry is registered and has requests waiting for the arbiter's grants. */
     boolean awaitsGrants() {
         return registered && !offered.isEmpty();
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/CostModel.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/CostModel.java
@@ -5,11 +5,11 @@
 import org.marjoramswitch.kernel.settings.PoolSettings;
 import org.marjoramswitch.kernel.settings.TargetKind;
 
-/** What service costs, in weighted tokens; a plain service's is its time, one token a millisecond. */
+/** Computes the cost of attempts in weighted tokens; a plain service costs one token per millisecond of target time. */
 final class CostModel {
     private CostModel() {}
 
-    /** The cost of an attempt that has ended. */
+    /** The cost of an ended attempt. */
     static long settled(PoolSettings pool, Usage usage) {
         if (pool.kind() == TargetKind.PLAIN_SERVICE) {
             return Math.max(1, usage.targetTimeMs());
@@ -18,7 +18,10 @@
         return Math.round(pool.promptTokenCost() * computedPrompt + pool.outputTokenCost() * usage.outputTokens());
     }
 
-    /** The cost of a running attempt; what the cache held of the prompt is not known yet and counts in full. */
+    /**
+     * The cost of a running attempt. The cached share of the prompt is unknown until the end, so the prompt counts in
+     * full.
+     */
     static long running(PoolSettings pool, RequestSpec spec, long outputTokens) {
         if (pool.kind() == TargetKind.PLAIN_SERVICE) {
             return 0;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/CustomerQueue.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/CustomerQueue.java
@@ -7,9 +7,9 @@
 import org.marjoramswitch.kernel.model.RequestSpec;
 import org.marjoramswitch.kernel.model.TargetId;
 
-/** The requests of one customer that wait at this entry for one pool: urgent ones first, then in order of arrival. */
+/** Queue of one customer's requests for one pool at this entry, ordered by urgency, then by arrival. */
 final class CustomerQueue {
-    /** How far behind the head a request may be preferred for its prompt prefix. */
+    /** Maximum requests examined for a cached prompt prefix. */
     private static final int PREFIX_LOOKAHEAD = 16;
 
     private static final Comparator<EntryRequest> ORDER = Comparator.comparingInt(
@@ -43,40 +43,41 @@
         return waiting.remove(request);
     }
 
-    /** The urgency of the most urgent request, the default where none waits. */
+    /** The urgency of the most urgent request; the default if the queue is empty. */
     int urgency() {
         return waiting.isEmpty()
                 ? RequestSpec.DEFAULT_URGENCY
                 : waiting.first().spec().urgency();
     }
 
-    /** When the request at the head arrived; only for a queue that is not empty. */
+    /** Arrival time of the head request. The queue must not be empty. */
     long headArrivedAtMs() {
         return waiting.first().arrivedAtMs();
     }
 
     /**
-     * Takes the request that a grant for {@code target} is best bound to: the head, unless it has failed at this target
-     * and another has not, or unless one close behind it, of the same urgency, has a prefix that the target holds. The
-     * customer's share is the same whichever it is, so locality costs no other customer anything.
+     * Removes and returns the request to bind to a grant for {@code target}. This is the first request that has not
+     * failed at the target, or one of the same urgency among the first {@value #PREFIX_LOOKAHEAD} whose prompt prefix
+     * the target probably has cached. If all examined requests have failed there, the head is returned. The choice does
+     * not affect the customer's share, so locality costs other customers nothing. Null if the queue is empty.
      */
     @Nullable
     EntryRequest take(TargetId target, PrefixDirectory prefixes) {
-        EntryRequest best = best(target, prefixes);
-        if (best != null) {
-            waiting.remove(best);
+        EntryRequest request = selectFor(target, prefixes);
+        if (request != null) {
+            waiting.remove(request);
         }
-        return best;
+        return request;
     }
 
-    private @Nullable EntryRequest best(TargetId target, PrefixDirectory prefixes) {
+    private @Nullable EntryRequest selectFor(TargetId target, PrefixDirectory prefixes) {
         EntryRequest head = null;
-        int seen = 0;
+        int examined = 0;
         for (EntryRequest request : waiting) {
-            if (seen++ >= PREFIX_LOOKAHEAD) {
+            if (examined++ >= PREFIX_LOOKAHEAD) {
                 break;
             }
-            if (request.failedAt(target)) {
+            if (request.hasFailedAt(target)) {
                 continue;
             }
             if (head != null && request.spec().urgency() != head.spec().urgency()) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/DemandPublisher.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/DemandPublisher.java
@@ -17,30 +17,31 @@
 import org.marjoramswitch.kernel.model.TargetId;
 
 /**
- * Offers this entry's waiting requests to the arbiters of their pool's cells, with few and small messages.
+ * Publishes this entry's waiting requests to the arbiters of their pool's cells, with few and small messages.
  *
- * <p>An arbiter is told numbers: "so many of this customer's requests wait here for you". The entry counts the same
- * number down as grants come, so neither side needs an answer. A request is offered to one home cell first, the one
- * whose target probably holds its prompt prefix, else the one that granted the customer's last request. If it still waits after {@code spillAfterMs}
- * its customer is offered to a second cell, after twice that to four, and so on up to every cell of the pool: a request
- * that is served soon costs few messages and links, and one that is not can be taken by whichever cell frees a slot
- * first. In a pool of 7 cells with 20 ms, a request is offered to 1, 2, 4 and all cells from 0, 20, 40 and 80 ms on.
+ * <p>Messages carry the number of a customer's requests that are offered to the arbiter. Both sides decrement it with
+ * each grant, so no acknowledgement is needed. A request is first offered to one home cell: the one whose target
+ * probably has its prompt prefix cached, otherwise the one that granted the customer's last request. If it still waits
+ * after {@code spillAfterMs}, its customer is offered to a second cell, after twice that to four, and so on up to all
+ * cells of the pool. A request that is served soon thus costs few messages and links, and one that is not can be
+ * granted by any cell that frees a slot. In a pool of 7 cells with 20 ms, a request is offered to 1, 2, 4 and all cells
+ * from 0, 20, 40 and 80 ms on.
  *
- * <p>An offer is at most {@code offerLimit} and is filled up again when half of it is used, so a deep backlog costs one
- * message in {@code offerLimit / 2} grants. Example with a limit of 16: 40 requests arrive, 16 messages of one each
- * reach the home cell and none follow; 8 grants later one message adds 8.
+ * <p>An offer is at most {@code offerLimit} and is topped up when half of it is used, so a deep backlog costs one
+ * message per {@code offerLimit / 2} grants. Example with a limit of 16: 40 requests arrive, 16 messages of one request
+ * each are sent to the home cell; after 8 grants one message adds 8.
  *
- * <p>The same request may be offered to several cells. The surplus is taken back when the customer's queue is empty; a
- * grant that was under way by then is declined, which costs one round trip of one slot.
+ * <p>The same request may be offered to several cells. The surplus is withdrawn when the customer's queue is empty; a
+ * grant already under way is declined, which leaves one slot unused for one round trip.
  */
 final class DemandPublisher {
     private final KernelOptions options;
-    private final FleetState plan;
+    private final FleetState fleet;
     private final Map<CellId, CellLink> links = new TreeMap<>();
 
-    DemandPublisher(KernelOptions options, FleetState plan) {
+    DemandPublisher(KernelOptions options, FleetState fleet) {
         this.options = options;
-        this.plan = plan;
+        this.fleet = fleet;
     }
 
     Collection<CellLink> links() {
@@ -52,11 +53,11 @@
         return links.get(cell);
     }
 
-    /** A request joined the queue. */
-    void arrived(PoolQueues pool, CustomerQueue queue, EntryRequest request, long nowMs, ActionSink sink) {
-        int covered = offeredInAll(pool.pool(), queue.customer());
+    /** Offers a request that was added to the queue. */
+    void requestArrived(PoolQueues pool, CustomerQueue queue, EntryRequest request, long nowMs, ActionSink sink) {
+        int covered = totalOffered(pool.pool(), queue.customer());
         if (covered < Math.min(queue.size(), options.offerLimit())) {
-            CellLink home = home(pool, request, nowMs);
+            CellLink home = homeLink(pool, request, nowMs);
             if (home != null) {
                 add(home, queue, 1, nowMs, sink);
             }
@@ -65,25 +66,25 @@
         boolean mostUrgent =
                 queue.size() > 1 && queue.urgency() == request.spec().urgency();
         if (mostUrgent && request.spec().urgency() < org.marjoramswitch.kernel.model.RequestSpec.DEFAULT_URGENCY) {
-            tellUrgency(pool.pool(), queue, sink);
+            sendUrgency(pool.pool(), queue, sink);
         }
     }
 
-    /** Offers the customers that have waited to more cells, the longer they have the more. */
+    /** Offers waiting customers to more cells, depending on how long their head request has waited. */
     void spill(PoolQueues pool, long nowMs, ActionSink sink) {
-        List<CellId> cells = plan.cells().cells(pool.pool());
+        List<CellId> cells = fleet.cells().cells(pool.pool());
         for (CustomerQueue queue : pool.backlogged()) {
-            int reach = Math.min(cells.size(), reach(nowMs - queue.headArrivedAtMs()));
-            int origin = reach < 2 ? 0 : firstOffered(cells, queue.customer());
-            for (int i = 0; i < reach && reach > 1; i++) {
+            int cellCount = Math.min(cells.size(), cellCount(nowMs - queue.headArrivedAtMs()));
+            int origin = cellCount < 2 ? 0 : firstOffered(cells, queue.customer());
+            for (int i = 0; i < cellCount && cellCount > 1; i++) {
                 CellId cell = cells.get((origin + i) % cells.size());
-                fill(link(cell, nowMs), queue, nowMs, sink);
+                topUp(link(cell, nowMs), queue, nowMs, sink);
             }
         }
     }
 
-    /** To how many cells a request is offered that has waited this long: 1, then 2, 4, 8 ... at each doubling. */
-    private int reach(long waitedMs) {
+    /** The number of cells that a request is offered to after this wait: 1, then 2, 4, 8, ... with each doubling. */
+    private int cellCount(long waitedMs) {
         long steps = options.spillAfterMs() == 0 ? Integer.MAX_VALUE : waitedMs / options.spillAfterMs();
         return steps >= 1 << 20 ? Integer.MAX_VALUE : Integer.highestOneBit((int) steps) * 2 + (steps == 0 ? 1 : 0);
     }
@@ -98,24 +99,24 @@
         return 0;
     }
 
-    /** A grant of this cell was taken from the customer's offer. */
+    /** Decrements the customer's offer to this cell after a grant, and tops it up or withdraws the remaining offers. */
     void granted(CellLink link, PoolQueues pool, CustomerId customer, long nowMs, ActionSink sink) {
         link.offered(customer, link.offered(customer) - 1);
-        link.used(nowMs);
-        pool.granted(customer, link.cell());
+        link.markUsed(nowMs);
+        pool.recordGrant(customer, link.cell());
         CustomerQueue queue = pool.queue(customer);
         if (queue == null) {
             withdraw(pool.pool(), customer, sink);
             return;
         }
-        if (offeredInAll(pool.pool(), customer) < queue.size()) {
-            fill(link, queue, nowMs, sink);
+        if (totalOffered(pool.pool(), customer) < queue.size()) {
+            topUp(link, queue, nowMs, sink);
         }
     }
 
-    /** Nothing of the customer waits any more: takes back what is still offered. */
+    /** Withdraws all offers of a customer that has no waiting requests. */
     void withdraw(PoolId pool, CustomerId customer, ActionSink sink) {
-        for (CellId cell : plan.cells().cells(pool)) {
+        for (CellId cell : fleet.cells().cells(pool)) {
             CellLink link = links.get(cell);
             int offered = link == null ? 0 : link.offered(customer);
             if (link != null && offered > 0) {
@@ -125,19 +126,22 @@
         }
     }
 
-    /** The link to a cell's arbiter, begun where there is none yet. */
+    /** The link to a cell's arbiter, created on first use. */
     CellLink link(CellId cell, long nowMs) {
         CellLink link = links.get(cell);
         if (link == null) {
             link = new CellLink(cell);
-            link.follow(plan.arbiter(cell), nowMs);
-            link.used(nowMs);
+            link.changeArbiter(fleet.arbiter(cell), nowMs);
+            link.markUsed(nowMs);
             links.put(cell, link);
         }
         return link;
     }
 
-    /** Sends to the cell's arbiter; nothing where there is none, a registration will tell it all. */
+    /**
+     * Sends to the cell's arbiter. Without one the message is dropped: the next registration carries the complete
+     * state.
+     */
     void send(CellLink link, PeerMessage message, ActionSink sink) {
         InstanceId arbiter = link.arbiter();
         if (arbiter != null) {
@@ -145,7 +149,7 @@
         }
     }
 
-    /** Registers this entry's whole state for a cell. */
+    /** Registers this entry's complete state for a cell: offers, running requests and standings. */
     void register(CellLink link, PoolQueues pool, Collection<EntryRequest> inFlight, long nowMs, ActionSink sink) {
         List<PeerMessage.Holding> holdings = new ArrayList<>();
         for (EntryRequest request : inFlight) {
@@ -153,7 +157,7 @@
             if (target != null) {
                 holdings.add(new PeerMessage.Holding(
                         request.spec().requestId(), request.spec().customer(), target, request.costTokens()));
-                request.renamed();
+                request.useRegistrationSequence();
             }
         }
         List<PeerMessage.Offer> offers = new ArrayList<>();
@@ -162,9 +166,9 @@
             offers.add(new PeerMessage.Offer(queue.customer(), offered, queue.urgency()));
         }
         List<PeerMessage.Standing> standings = standings(link, offers, holdings);
-        link.unregistered();
-        link.registeredNow();
-        link.used(nowMs);
+        link.markUnregistered();
+        link.markRegistered();
+        link.markUsed(nowMs);
         offers.forEach(offer -> link.offered(offer.customer(), offer.waiting()));
         send(link, new PeerMessage.Register(link.cell(), offers, holdings, standings, link.lastSequence()), sink);
     }
@@ -186,14 +190,14 @@
 
     private void add(CellLink link, CustomerQueue queue, int added, long nowMs, ActionSink sink) {
         CustomerId customer = queue.customer();
-        link.used(nowMs);
+        link.markUsed(nowMs);
         link.offered(customer, link.offered(customer) + added);
-        if (link.registered()) {
+        if (link.isRegistered()) {
             send(link, new PeerMessage.Demand(link.cell(), customer, added, queue.urgency()), sink);
             return;
         }
         PeerMessage.Offer offer = new PeerMessage.Offer(customer, link.offered(customer), queue.urgency());
-        link.registeredNow();
+        link.markRegistered();
         List<PeerMessage.Standing> standings = standings(link, List.of(offer), List.of());
         send(
                 link,
@@ -201,7 +205,7 @@
                 sink);
     }
 
-    private void fill(CellLink link, CustomerQueue queue, long nowMs, ActionSink sink) {
+    private void topUp(CellLink link, CustomerQueue queue, long nowMs, ActionSink sink) {
         int offered = link.offered(queue.customer());
         int wanted = Math.min(queue.size(), options.offerLimit());
         if (wanted >= 2 * offered && wanted > offered) {
@@ -209,8 +213,8 @@
         }
     }
 
-    private void tellUrgency(PoolId pool, CustomerQueue queue, ActionSink sink) {
-        for (CellId cell : plan.cells().cells(pool)) {
+    private void sendUrgency(PoolId pool, CustomerQueue queue, ActionSink sink) {
+        for (CellId cell : fleet.cells().cells(pool)) {
             CellLink link = links.get(cell);
             if (link != null && link.offered(queue.customer()) > 0) {
                 send(link, new PeerMessage.Demand(cell, queue.customer(), 0, queue.urgency()), sink);
@@ -218,22 +222,22 @@
         }
     }
 
-    private @Nullable CellLink home(PoolQueues pool, EntryRequest request, long nowMs) {
-        List<CellId> cells = plan.cells().cells(pool.pool());
+    private @Nullable CellLink homeLink(PoolQueues pool, EntryRequest request, long nowMs) {
+        List<CellId> cells = fleet.cells().cells(pool.pool());
         if (cells.isEmpty()) {
             return null;
         }
-        TargetId holder = pool.prefixes().target(request.spec().prefixHash());
-        CellId preferred = holder == null ? null : plan.cells().cellOf(holder);
+        TargetId holder = pool.prefixes().probableHolder(request.spec().prefixHash());
+        CellId preferred = holder == null ? null : fleet.cells().cellOf(holder);
         CellId cell = preferred != null && cells.contains(preferred)
                 ? preferred
                 : pool.home(request.spec().customer(), cells);
         return link(cell, nowMs);
     }
 
-    private int offeredInAll(PoolId pool, CustomerId customer) {
+    private int totalOffered(PoolId pool, CustomerId customer) {
         int offered = 0;
-        for (CellId cell : plan.cells().cells(pool)) {
+        for (CellId cell : fleet.cells().cells(pool)) {
             CellLink link = links.get(cell);
             offered += link == null ? 0 : link.offered(customer);
         }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
@@ -33,35 +33,36 @@
 import org.marjoramswitch.kernel.settings.PoolSettings;
 
 /**
- * The requests of one instance's own callers: it queues them, binds grants to them, judges how attempts ended and
- * gives each exactly one end.
+ * Queues the requests of one instance's own callers, binds grants to them, evaluates how attempts ended and completes
+ * or fails each request exactly once.
  *
- * <p>Only the entry starts a request, so whatever arbiters do, a request runs no more often than the entry's own
- * attempts: one at a time, a next one only where the last certainly did not run or the request may be repeated, and
- * none after a part of the answer has reached the caller.
+ * <p>Only the entry starts a request. Regardless of what arbiters do, a request therefore runs no more often than the
+ * entry's own attempts: one at a time, another one only if the last certainly did not run or the request is repeatable,
+ * and none after a part of the response has reached the caller, unless a placed request is resumable.
  *
- * <p>"Not run" is said of a request only if no attempt of it may have run: a request whose first attempt broke off and
- * whose second was refused ends as unknown.
+ * <p>A request ends as "not run" only if no attempt of it may have run. One whose first attempt broke off and whose
+ * second was rejected ends as unknown.
  *
- * <p>While a cell's arbiter cannot be reached, or is new and still collects registrations, a request that ends hands
- * its slot to the next request waiting here, in the order of the standings last told. So capacity does not idle
- * through a change of arbiter; the entry registers anew afterwards and the arbiter accounts for it.
+ * <p>While a cell's arbiter is unreachable, or is new and still collects registrations, a request that ends passes its
+ * slot to the next request waiting here, in the order of the standings last received. Capacity is thus not idle during
+ * a change of arbiter; the entry registers again afterwards and the arbiter accounts for the slot.
  *
- * <p>A request under which several targets have ended is not sent on, whichever instance saw them end ({@link
- * PoisonRequestGossip}); a target that asked this instance for rest is left out until the rest is over ({@link TargetBackoffs}).
+ * <p>A request under which several targets have crashed is not retried, whichever instance observed the crashes ({@link
+ * PoisonRequestGossip}). A target that requested a backoff from this instance is not used until the backoff has elapsed
+ * ({@link TargetBackoffs}).
  */
 public final class Entry {
     private static final long RETRY_AFTER_MS = 1_000;
-    /** Another instance can take the request at once. */
+    /** Short, since another instance can accept the request immediately. */
     private static final long LEAVING_RETRY_AFTER_MS = 100;
 
-    /** A longer interval between ticks means that the process was paused or had no processor time. */
+    /** A longer interval between ticks means that the process was paused or lacked processor time. */
     private static final long PAUSE_MS = 300;
 
     private final KernelOptions options;
-    private final FleetState plan;
+    private final FleetState fleet;
     private final InstanceId self;
-    private final DemandPublisher offers;
+    private final DemandPublisher demand;
     private final Map<PoolId, PoolQueues> pools = new TreeMap<>();
     private final Map<Long, EntryRequest> requests = new TreeMap<>();
     private final PriorityQueue<EntryRequest> deadlines = new PriorityQueue<>(
@@ -69,47 +70,47 @@
                     .thenComparingLong(request -> request.spec().requestId()));
     private final Registrations registrations;
     private final Placements placements;
-    private final SilentPeerDetector placementWatch = SilentPeerDetector.create();
-    private final PoisonRequestGossip crashes = PoisonRequestGossip.create();
-    private final TargetBackoffs rests = new TargetBackoffs();
-    private int waitingInAll;
+    private final SilentPeerDetector placementArbiterDetector = SilentPeerDetector.create();
+    private final PoisonRequestGossip poisonGossip = PoisonRequestGossip.create();
+    private final TargetBackoffs targetBackoffs = new TargetBackoffs();
+    private int totalWaiting;
     private boolean draining;
     private long lastTickMs;
 
-    private Entry(InstanceId self, KernelOptions options, FleetState plan) {
+    private Entry(InstanceId self, KernelOptions options, FleetState fleet) {
         this.self = self;
         this.options = options;
-        this.plan = plan;
-        this.offers = new DemandPublisher(options, plan);
-        this.registrations = new Registrations(self, options, plan, offers, this::pool, requests.values());
-        this.placements = new Placements(self, plan, rests);
+        this.fleet = fleet;
+        this.demand = new DemandPublisher(options, fleet);
+        this.registrations = new Registrations(self, options, fleet, demand, this::pool, requests.values());
+        this.placements = new Placements(self, fleet, targetBackoffs);
     }
 
-    public static Entry create(InstanceId self, KernelOptions options, FleetState plan) {
-        return new Entry(self, options, plan);
+    public static Entry create(InstanceId self, KernelOptions options, FleetState fleet) {
+        return new Entry(self, options, fleet);
     }
 
-    /** This entry's relation to the arbiters. */
+    /** This entry's registrations with the arbiters. */
     public Registrations registrations() {
         return registrations;
     }
 
-    /** Requests that have not ended. */
+    /** The number of requests that have not ended. */
     public int open() {
         return requests.size();
     }
 
     public int waiting() {
-        return waitingInAll;
+        return totalWaiting;
     }
 
-    /** From now on new requests are refused; those already here go on to their ends. */
+    /** Rejects new requests from now on; accepted ones continue to their ends. */
     public void drain() {
         draining = true;
     }
 
     public void arrived(RequestSpec spec, long nowMs, ActionSink sink) {
-        PoolSettings settings = plan.settings().pools().get(spec.pool());
+        PoolSettings settings = fleet.settings().pools().get(spec.pool());
         Failure refusal = settings == null
                 ? Failure.notRun(ErrorType.UNKNOWN_POOL, 0, spec.pool().name())
                 : refusal(spec, nowMs);
@@ -117,7 +118,7 @@
             refuse(spec, refusal, sink);
             return;
         }
-        crashes.records().admitted(spec.digest(), nowMs);
+        poisonGossip.poisonRequests().admitted(spec.digest(), nowMs);
         EntryRequest request = new EntryRequest(spec, nowMs);
         requests.put(spec.requestId(), request);
         deadlines.add(request);
@@ -142,7 +143,7 @@
         fail(request, ErrorType.CALLER_GONE, 0, "", sink);
     }
 
-    /** The first byte of the running attempt's answer is there. */
+    /** The first byte of the running attempt's response has arrived. */
     public void responseStarted(long requestId, ActionSink sink) {
         EntryRequest request = requests.get(requestId);
         if (request != null && request.target() != null) {
@@ -150,81 +151,83 @@
         }
     }
 
-    /** An arbiter found a target for a request. */
+    /** Handles a placement: starts the request at the target, or returns the placement if the target cannot be used. */
     public void placed(InstanceId from, PeerMessage.Placed placed, long nowMs, ActionSink sink) {
         EntryRequest request = placements.placed(from, placed, nowMs, sink);
         if (request == null) {
             return;
         }
         boolean usable = mayStartAt(placed.target());
-        if (usable && !rests.isResting(placed.target(), nowMs)) {
-            waitingInAll--;
+        if (usable && !targetBackoffs.isBackedOff(placed.target(), nowMs)) {
+            totalWaiting--;
             request.fetchFrom(usableSource(placed.fetchFrom()));
             start(request, placed.target(), placed.cell(), placed.ask(), "placed", nowMs, sink);
             return;
         }
-        // The arbiter does not know yet that the target is gone, leaving or resting; it is asked to leave that one out.
-        boolean nothingElse = usable && placements.leftOut(request, placed.target());
+        // The arbiter does not know yet that the target is gone, draining or in backoff. The next placement request
+        // excludes the target.
+        boolean onlyTarget = usable && placements.wasExcluded(request, placed.target());
         placements.ended(request, PlacementEnd.NOT_RUN, sink);
-        if (nothingElse) {
-            // Asked again it would offer the same, and the two would go back and forth until the rest is over.
-            refuseForRest(request, rests.leftMs(List.of(placed.target()), nowMs), sink);
+        if (onlyTarget) {
+            // The arbiter selected an excluded target for lack of another one. It would do so again until the backoff
+            // has elapsed.
+            refuseForBackoff(request, targetBackoffs.remainingMs(List.of(placed.target()), nowMs), sink);
             return;
         }
         if (!usable) {
-            request.failedAtUnused(placed.target());
+            request.excludeUnusable(placed.target());
         }
-        askAgain(request, nowMs, sink);
+        requestPlacement(request, nowMs, sink);
     }
 
     /**
-     * A source that is gone would not answer, or its address may be another service's by now; without one the target
-     * reads the prompt itself.
+     * The source if it can be used, otherwise null: one that is gone would not respond, or its address may belong to
+     * another service now. Without a source the target computes the whole prompt itself.
      */
     private @Nullable TargetId usableSource(@Nullable TargetId source) {
         return source != null && mayStartAt(source) ? source : null;
     }
 
-    /** An arbiter found no target that could serve a request in a useful time. */
+    /** Fails a request for which the arbiter found no target that could serve it in time. */
     public void notPlaced(InstanceId from, PeerMessage.NotPlaced refused, long nowMs, ActionSink sink) {
         EntryRequest request = placements.notPlaced(from, refused, nowMs, sink);
         if (request == null) {
             return;
         }
-        waitingInAll--;
-        // Under these two names the arbiter's log tells why.
-        String question = refused.cell() + "#" + refused.ask();
-        fail(request, ErrorType.NO_TARGET_IN_TIME, refused.retryAfterMs(), question, sink);
+        totalWaiting--;
+        // The arbiter's log explains the rejection under this cell and placement id.
+        String placement = refused.cell() + "#" + refused.ask();
+        fail(request, ErrorType.NO_TARGET_IN_TIME, refused.retryAfterMs(), placement, sink);
     }
 
-    /** Arbiters, cells or links may have changed. */
+    /** Adapts registrations and placement requests to changed arbiters, cells or links. */
     public void fleetChanged(long nowMs, ActionSink sink) {
         registrations.fleetChanged(nowMs, sink);
-        placements.follow(nowMs, sink);
+        placements.followFleet(nowMs, sink);
     }
 
-    /** A new link to a peer came up. */
+    /** Sends the state of this entry over a new link to a peer. */
     public void connected(InstanceId peer, long nowMs, ActionSink sink) {
         registrations.connected(peer, nowMs, sink);
         placements.connected(peer, nowMs, sink);
-        crashes.connected(peer, nowMs, sink);
+        poisonGossip.connected(peer, nowMs, sink);
     }
 
-    /** A target turned a request away and wants nothing from here for a while. */
-    public void backoffRequested(TargetId target, long restMs, long nowMs, ActionSink sink) {
-        if (rests.add(target, nowMs + restMs, nowMs)) {
-            sink.accept(new Action.Decided(Decision.of("target_rests", "target", target, "restMs", restMs)));
+    /** Starts a backoff of a target that rejected a request with a Retry-After. */
+    public void backoffRequested(TargetId target, long backoffMs, long nowMs, ActionSink sink) {
+        if (targetBackoffs.add(target, nowMs + backoffMs, nowMs)) {
+            sink.accept(new Action.Decided(Decision.of("target_rests", "target", target, "restMs", backoffMs)));
         }
     }
 
-    /** A peer saw targets end under requests, or such requests served. */
-    public void crashesReported(PeerMessage.CrashNews news, long nowMs, ActionSink sink) {
-        crashes.received(news, nowMs).forEach(digest -> refuseBlocked(digest, nowMs, sink));
+    /** Applies crash reports of a peer: crashed targets, and requests that have since been served. */
+    public void crashesReported(PeerMessage.CrashNews update, long nowMs, ActionSink sink) {
+        poisonGossip.received(update, nowMs).forEach(digest -> refuseBlocked(digest, nowMs, sink));
     }
 
-    /** Something came from a peer. */
+    /** Records that a message arrived from a peer. */
     public void messageReceived(InstanceId peer, long nowMs, ActionSink sink) {
-        placementWatch.messageReceived(peer, nowMs);
+        placementArbiterDetector.messageReceived(peer, nowMs);
         registrations.messageReceived(peer, nowMs, sink);
     }
 
@@ -236,11 +239,11 @@
         }
         request.costTokens(CostModel.running(pool, request.spec(), outputTokens));
         CellLink link = linkOf(request);
-        if (link == null || request.costTokens() - request.toldTokens() < options.progressStepTokens()) {
+        if (link == null || request.costTokens() - request.reportedTokens() < options.progressStepTokens()) {
             return;
         }
-        request.told();
-        offers.send(link, new PeerMessage.Progress(link.cell(), request.sequence(), request.costTokens()), sink);
+        request.markReported();
+        demand.send(link, new PeerMessage.Progress(link.cell(), request.sequence(), request.costTokens()), sink);
     }
 
     public void attemptEnded(long requestId, TargetOutcome outcome, Usage usage, long nowMs, ActionSink sink) {
@@ -256,26 +259,26 @@
         if (!outcome.notRun()) {
             request.markMayHaveRun();
         }
-        noteCrash(request.spec().digest(), target, outcome, nowMs, sink);
+        recordCrash(request.spec().digest(), target, outcome, nowMs, sink);
         conclude(request, outcome, pool, nowMs, sink);
         if (link != null && !outcome.targetFault()) {
             reuseSlot(link, pool, target, nowMs, sink);
         }
     }
 
-    /** A grant came from {@code from}. */
+    /** Binds a grant to a waiting request, or declines it. */
     public void granted(InstanceId from, PeerMessage.Grant grant, long nowMs, ActionSink sink) {
-        CellLink link = offers.linkOrNull(grant.cell());
+        CellLink link = demand.linkOrNull(grant.cell());
         DeclineReason reason = reasonToDecline(from, grant, link);
         if (link == null || reason != null) {
             decline(from, grant, reason == null ? DeclineReason.NOT_THE_ARBITER : reason, nowMs, sink);
             return;
         }
-        link.granted(grant.sequence());
+        link.recordGrant(grant.sequence());
         link.aheadTokens(grant.customer(), grant.aheadTokens());
         PoolQueues pool = pool(grant.cell().pool());
         EntryRequest request = take(pool, grant.customer(), grant.target());
-        offers.granted(link, pool, grant.customer(), nowMs, sink);
+        demand.granted(link, pool, grant.customer(), nowMs, sink);
         if (request == null) {
             sendDecline(from, grant, DeclineReason.NOTHING_WAITING, sink);
             return;
@@ -284,88 +287,93 @@
     }
 
     public void prefixCached(TargetId target, long prefixHash, boolean present) {
-        CellId cell = plan.cells().cellOf(target);
+        CellId cell = fleet.cells().cellOf(target);
         if (cell == null) {
             return;
         }
         PrefixDirectory prefixes = pool(cell.pool()).prefixes();
         if (present) {
-            prefixes.note(target, prefixHash);
+            prefixes.record(target, prefixHash);
             return;
         }
-        prefixes.forget(target, prefixHash);
+        prefixes.remove(target, prefixHash);
     }
 
     public void tick(long nowMs, ActionSink sink) {
         if (nowMs - lastTickMs >= PAUSE_MS) {
-            placements.resumed(nowMs);
+            placements.processResumed(nowMs);
         }
         lastTickMs = nowMs;
         expire(nowMs, sink);
         registrations.tick(nowMs, sink);
         watchPlacementArbiters(nowMs, sink);
         refuseOverdue(nowMs, sink);
-        tellCrashes(sink);
-        placements.follow(nowMs, sink);
-        if (rests.expire(nowMs)) {
-            placements.restEnded(nowMs, sink);
+        publishCrashes(sink);
+        placements.followFleet(nowMs, sink);
+        if (targetBackoffs.expire(nowMs)) {
+            placements.backoffEnded(nowMs, sink);
         }
-        pools.values().forEach(pool -> offers.spill(pool, nowMs, sink));
+        pools.values().forEach(pool -> demand.spill(pool, nowMs, sink));
     }
 
-    /** Requests would wait for a paused or cut-off arbiter beside idle targets; the next one in rank is asked then. */
+    /**
+     * Switches from silent arbiters to the next ones in rank: requests would wait for a paused or disconnected arbiter
+     * while targets are idle.
+     */
     private void watchPlacementArbiters(long nowMs, ActionSink sink) {
-        Set<InstanceId> awaited = placements.awaited();
-        awaited.removeAll(plan.unreachable());
-        for (InstanceId silent : placementWatch.silentPeers(awaited, nowMs, peer -> registrations.probe(peer, sink))) {
-            plan.reachable(silent, false);
-            placements.silent(silent, nowMs, sink);
+        Set<InstanceId> awaited = placements.awaitedArbiters();
+        awaited.removeAll(fleet.unreachable());
+        for (InstanceId silent :
+                placementArbiterDetector.silentPeers(awaited, nowMs, peer -> registrations.probe(peer, sink))) {
+            fleet.reachable(silent, false);
+            placements.arbiterSilent(silent, nowMs, sink);
         }
     }
 
-    /** Refuses requests that their arbiter has left unanswered, instead of holding them until their deadlines. */
+    /** Rejects requests whose arbiter did not respond in time, instead of holding them until their deadlines. */
     private void refuseOverdue(long nowMs, ActionSink sink) {
         for (EntryRequest request : placements.takeOverdue(nowMs, sink)) {
-            waitingInAll--;
+            totalWaiting--;
             RequestSpec spec = request.spec();
             long retryAfterMs = RetryTimes.spreadAfterMs(spec.deadlineMs(), spec.requestId(), nowMs);
-            fail(request, ErrorType.NO_TARGET_IN_TIME, retryAfterMs, "no answer of the arbiter", sink);
+            fail(request, ErrorType.NO_TARGET_IN_TIME, retryAfterMs, "no response from the arbiter", sink);
         }
     }
 
-    private void tellCrashes(ActionSink sink) {
-        if (!crashes.hasNews()) {
+    private void publishCrashes(ActionSink sink) {
+        if (!poisonGossip.hasUpdates()) {
             return;
         }
-        Set<InstanceId> peers = new TreeSet<>(plan.view().members().keySet());
+        Set<InstanceId> peers = new TreeSet<>(fleet.view().members().keySet());
         peers.remove(self);
-        crashes.tell(peers, sink);
+        poisonGossip.publish(peers, sink);
     }
 
-    /** A target that answered whole has outlived the request; one that broke off may have ended under it. */
-    private void noteCrash(long digest, TargetId target, TargetOutcome outcome, long nowMs, ActionSink sink) {
+    /** Clears a request that got a complete response; records a crash if the target broke off. */
+    private void recordCrash(long digest, TargetId target, TargetOutcome outcome, long nowMs, ActionSink sink) {
         if (outcome == TargetOutcome.COMPLETED || outcome == TargetOutcome.SERVER_ERROR) {
-            crashes.served(digest);
+            poisonGossip.requestServed(digest);
             return;
         }
         if (digest == 0 || !outcome.brokeOff()) {
             return;
         }
-        if (!crashes.crashed(new PeerMessage.RequestCrash(digest, target, 0), nowMs)) {
+        if (!poisonGossip.targetCrashed(new PeerMessage.RequestCrash(digest, target, 0), nowMs)) {
             return;
         }
-        if (crashes.records().blockedForMs(digest, nowMs) > 0) {
-            sink.accept(new Action.KeepCrashes(digest, crashes.records().of(digest, nowMs)));
+        if (poisonGossip.poisonRequests().blockedForMs(digest, nowMs) > 0) {
+            sink.accept(
+                    new Action.KeepCrashes(digest, poisonGossip.poisonRequests().of(digest, nowMs)));
         }
         refuseBlocked(digest, nowMs, sink);
     }
 
     /**
-     * Requests that ended several targets would end the next one, with all that runs there, so those that wait are told
-     * at once that they are not run.
+     * Rejects waiting copies of a poison request immediately, since they would crash the next target together with
+     * everything that runs there.
      */
     private void refuseBlocked(long digest, long nowMs, ActionSink sink) {
-        long blockedForMs = crashes.records().blockedForMs(digest, nowMs);
+        long blockedForMs = poisonGossip.poisonRequests().blockedForMs(digest, nowMs);
         if (blockedForMs == 0) {
             return;
         }
@@ -374,7 +382,7 @@
                 "digest",
                 Long.toHexString(digest),
                 "endedTargets",
-                crashes.records().ends(digest),
+                poisonGossip.poisonRequests().crashCount(digest),
                 "blockedForMs",
                 blockedForMs)));
         for (EntryRequest request : List.copyOf(requests.values())) {
@@ -386,44 +394,52 @@
     }
 
     private boolean mayStartAt(TargetId target) {
-        return plan.settings().targets().containsKey(target)
-                && !plan.leavingTargets().contains(target);
+        return fleet.settings().targets().containsKey(target)
+                && !fleet.leavingTargets().contains(target);
     }
 
-    private void askAgain(EntryRequest request, long nowMs, ActionSink sink) {
-        long restLeftMs = placements.restLeftMs(request, nowMs);
-        if (restLeftMs > 0) {
-            refuseForRest(request, restLeftMs, sink);
+    private void requestPlacement(EntryRequest request, long nowMs, ActionSink sink) {
+        long backoffRemainingMs = placements.backoffRemainingMs(request, nowMs);
+        if (backoffRemainingMs > 0) {
+            refuseForBackoff(request, backoffRemainingMs, sink);
             return;
         }
-        if (!placements.ask(request, nowMs, sink)) {
-            waitingInAll--;
+        if (!placements.requestPlacement(request, nowMs, sink)) {
+            totalWaiting--;
             fail(request, ErrorType.NO_TARGET_IN_TIME, RETRY_AFTER_MS, "", sink);
         }
     }
 
-    /** No target wants the request for a while; its caller is of more use elsewhere than waiting here. */
-    private void refuseForRest(EntryRequest request, long restLeftMs, ActionSink sink) {
-        waitingInAll--;
-        fail(request, ErrorType.TARGETS_REST, restLeftMs, request.spec().pool().name(), sink);
+    /**
+     * Rejects a request while all its targets are in backoff, so that its caller can retry elsewhere instead of
+     * waiting.
+     */
+    private void refuseForBackoff(EntryRequest request, long backoffRemainingMs, ActionSink sink) {
+        totalWaiting--;
+        fail(
+                request,
+                ErrorType.TARGETS_REST,
+                backoffRemainingMs,
+                request.spec().pool().name(),
+                sink);
     }
 
     private @Nullable Failure refusal(RequestSpec spec, long nowMs) {
-        long blockedForMs = crashes.records().blockedForMs(spec.digest(), nowMs);
+        long blockedForMs = poisonGossip.poisonRequests().blockedForMs(spec.digest(), nowMs);
         if (blockedForMs > 0) {
             return Failure.notRun(ErrorType.REQUEST_BLOCKED, blockedForMs, Long.toHexString(spec.digest()));
         }
         if (draining) {
             return Failure.notRun(ErrorType.INSTANCE_LEAVING, LEAVING_RETRY_AFTER_MS, self.name());
         }
-        if (waitingInAll >= options.maxWaiting()) {
+        if (totalWaiting >= options.maxWaiting()) {
             return Failure.notRun(ErrorType.ENTRY_QUEUE_FULL, RETRY_AFTER_MS, self.name());
         }
-        CustomerSettings customer = plan.settings().customers().get(spec.customer());
+        CustomerSettings customer = fleet.settings().customers().get(spec.customer());
         PoolQueues pool = pool(spec.pool());
         int queued = pool.size(spec.customer());
         if (customer != null && queued >= customer.maxQueued()) {
-            long retryAfterMs = pool.rate(spec.customer()).retryAfterMs(queued);
+            long retryAfterMs = pool.drainRate(spec.customer()).retryAfterMs(queued);
             return Failure.notRun(ErrorType.CUSTOMER_QUEUE_FULL, retryAfterMs, Integer.toString(queued));
         }
         return null;
@@ -447,27 +463,27 @@
 
     private void enqueue(EntryRequest request, long nowMs, ActionSink sink) {
         if (request.spec().placement() != null) {
-            waitingInAll++;
-            askAgain(request, nowMs, sink);
+            totalWaiting++;
+            requestPlacement(request, nowMs, sink);
             return;
         }
         PoolQueues pool = pool(request.spec().pool());
         CustomerQueue queue = pool.add(request);
-        waitingInAll++;
-        offers.arrived(pool, queue, request, nowMs, sink);
+        totalWaiting++;
+        demand.requestArrived(pool, queue, request, nowMs, sink);
     }
 
     private void dequeue(EntryRequest request, ActionSink sink) {
         if (request.spec().placement() != null) {
-            waitingInAll--;
+            totalWaiting--;
             placements.withdraw(request, sink);
             return;
         }
         PoolQueues pool = pool(request.spec().pool());
         pool.remove(request);
-        waitingInAll--;
+        totalWaiting--;
         if (pool.queue(request.spec().customer()) == null) {
-            offers.withdraw(pool.pool(), request.spec().customer(), sink);
+            demand.withdraw(pool.pool(), request.spec().customer(), sink);
         }
     }
 
@@ -479,7 +495,7 @@
         EntryRequest request = queue.take(target, pool.prefixes());
         pool.dropIfEmpty(queue);
         if (request != null) {
-            waitingInAll--;
+            totalWaiting--;
         }
         return request;
     }
@@ -495,9 +511,9 @@
         RequestSpec spec = request.spec();
         PoolQueues pool = pool(spec.pool());
         boolean prefixHeld = pool.prefixes().holds(target, spec.prefixHash());
-        request.started(target, cell, sequence);
-        pool.prefixes().note(target, spec.prefixHash());
-        pool.rate(spec.customer()).started(nowMs);
+        request.attemptStarted(target, cell, sequence);
+        pool.prefixes().record(target, spec.prefixHash());
+        pool.drainRate(spec.customer()).requestStarted(nowMs);
         sink.accept(new Action.Dispatch(spec.requestId(), target, request.attempts(), request.fetchFrom()));
         sink.accept(new Action.Decided(Decision.of(
                 "dispatch",
@@ -527,18 +543,18 @@
             EntryRequest request, TargetOutcome outcome, Usage usage, @Nullable CellLink link, ActionSink sink) {
         PoolSettings pool = poolSettings(request);
         long reported = pool == null || outcome.notRun() ? 0 : CostModel.settled(pool, usage);
-        // An attempt that broke off reports no usage; what it had delivered was served all the same.
-        request.costTokens(outcome.notRun() ? 0 : Math.max(reported, outcomeFloor(request, outcome)));
+        // An attempt that broke off reports no usage; what it had delivered still counts as served.
+        request.costTokens(outcome.notRun() ? 0 : Math.max(reported, minCostTokens(request, outcome)));
         if (link == null) {
             return;
         }
-        offers.send(
+        demand.send(
                 link,
                 new PeerMessage.Ended(link.cell(), request.sequence(), request.costTokens(), outcome.targetFault()),
                 sink);
     }
 
-    private static long outcomeFloor(EntryRequest request, TargetOutcome outcome) {
+    private static long minCostTokens(EntryRequest request, TargetOutcome outcome) {
         return outcome == TargetOutcome.COMPLETED ? 0 : request.costTokens();
     }
 
@@ -553,15 +569,16 @@
             fail(request, ErrorType.CALLER_GONE, 0, "", sink);
             return;
         }
-        boolean blocked = crashes.records().blockedForMs(request.spec().digest(), nowMs) > 0;
+        boolean blocked =
+                poisonGossip.poisonRequests().blockedForMs(request.spec().digest(), nowMs) > 0;
         boolean mayRetry = !blocked && AttemptRules.mayRetry(request, outcome, nowMs);
         if (mayRetry && takeRetry(request, pool, nowMs)) {
-            request.failed();
+            request.attemptFailed();
             enqueue(request, nowMs, sink);
             return;
         }
         if (outcome == TargetOutcome.SERVER_ERROR) {
-            // The target's own answer tells the caller more than a failure of ours would.
+            // The target's own response is more informative to the caller than a generated failure.
             complete(request, sink);
             return;
         }
@@ -592,7 +609,7 @@
         if (request.spec().placement() == null) {
             return pool.retries().take();
         }
-        int instances = plan.view().members().size();
+        int instances = fleet.view().members().size();
         return pool.resends().take(options.resendLimits(), instances, nowMs);
     }
 
@@ -610,11 +627,11 @@
                 continue;
             }
             if (request.target() != null) {
-                endInTime(request, sink);
+                cancelAtDeadline(request, sink);
                 continue;
             }
             long retryAfterMs = pool(request.spec().pool())
-                    .rate(request.spec().customer())
+                    .drainRate(request.spec().customer())
                     .retryAfterMs(
                             pool(request.spec().pool()).size(request.spec().customer()));
             dequeue(request, sink);
@@ -622,8 +639,8 @@
         }
     }
 
-    /** A placed request's caller waits for nothing beyond the deadline; the target is to work for it no longer. */
-    private void endInTime(EntryRequest request, ActionSink sink) {
+    /** Cancels a placed request at its deadline: its caller has timed out, so the target must not spend time on it. */
+    private void cancelAtDeadline(EntryRequest request, ActionSink sink) {
         TargetId target = request.target();
         if (request.spec().placement() == null || target == null) {
             return;
@@ -635,25 +652,25 @@
     }
 
     private @Nullable DeclineReason reasonToDecline(InstanceId from, PeerMessage.Grant grant, @Nullable CellLink link) {
-        if (link == null || !from.equals(link.arbiter()) || link.behindBarrier()) {
+        if (link == null || !from.equals(link.arbiter()) || link.awaitsBarrier()) {
             return DeclineReason.NOT_THE_ARBITER;
         }
-        if (!plan.settings().targets().containsKey(grant.target())) {
+        if (!fleet.settings().targets().containsKey(grant.target())) {
             return DeclineReason.TARGET_UNKNOWN;
         }
-        // The arbiter may not have heard yet that the target is leaving; whoever knows first keeps work from it.
-        return plan.leavingTargets().contains(grant.target()) ? DeclineReason.TARGET_LEAVING : null;
+        // This entry may know that the target is draining before the arbiter does.
+        return fleet.leavingTargets().contains(grant.target()) ? DeclineReason.TARGET_LEAVING : null;
     }
 
     private void decline(InstanceId from, PeerMessage.Grant grant, DeclineReason reason, long nowMs, ActionSink sink) {
         sendDecline(from, grant, reason, sink);
-        CellLink link = offers.linkOrNull(grant.cell());
+        CellLink link = demand.linkOrNull(grant.cell());
         if (link == null || reason == DeclineReason.NOT_THE_ARBITER) {
             return;
         }
-        // The arbiter counted the offer down for this grant. Without a new offer the request would wait for good.
-        link.granted(grant.sequence());
-        offers.granted(link, pool(grant.cell().pool()), grant.customer(), nowMs, sink);
+        // The arbiter decremented the offer for this grant. Without a new offer the request would wait forever.
+        link.recordGrant(grant.sequence());
+        demand.granted(link, pool(grant.cell().pool()), grant.customer(), nowMs, sink);
     }
 
     private void sendDecline(InstanceId from, PeerMessage.Grant grant, DeclineReason reason, ActionSink sink) {
@@ -673,7 +690,7 @@
     }
 
     private void reuseSlot(CellLink link, PoolQueues pool, TargetId target, long nowMs, ActionSink sink) {
-        if (!registrations.arbiterSilent(link, nowMs) || plan.leavingTargets().contains(target)) {
+        if (!registrations.arbiterSilent(link, nowMs) || fleet.leavingTargets().contains(target)) {
             return;
         }
         CustomerQueue next = pool.backlogged().stream()
@@ -685,10 +702,10 @@
             return;
         }
         long charge = Math.round(
-                plan.settings().pools().get(pool.pool()) == null
+                fleet.settings().pools().get(pool.pool()) == null
                         ? 0
-                        : plan.settings().pools().get(pool.pool()).initialEstimateTokens()
-                                / plan.weight(request.spec().customer()));
+                        : fleet.settings().pools().get(pool.pool()).initialEstimateTokens()
+                                / fleet.weight(request.spec().customer()));
         link.aheadTokens(
                 request.spec().customer(), link.aheadTokens(request.spec().customer()) + charge);
         link.markHoldingsChanged();
@@ -697,11 +714,11 @@
 
     private @Nullable CellLink linkOf(EntryRequest request) {
         CellId cell = request.cell();
-        return cell == null ? null : offers.linkOrNull(cell);
+        return cell == null ? null : demand.linkOrNull(cell);
     }
 
     private @Nullable PoolSettings poolSettings(EntryRequest request) {
-        return plan.settings().pools().get(request.spec().pool());
+        return fleet.settings().pools().get(request.spec().pool());
     }
 
     private PoolQueues pool(PoolId id) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/EntryRequest.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/EntryRequest.java
@@ -7,7 +7,7 @@
 import org.marjoramswitch.kernel.model.RequestSpec;
 import org.marjoramswitch.kernel.model.TargetId;
 
-/** A request at its entry, from its arrival until its end. */
+/** State of a request at its entry instance, from arrival to end. */
 final class EntryRequest {
     private final RequestSpec spec;
     private final long arrivedAtMs;
@@ -18,7 +18,7 @@
     private @Nullable TargetId fetchFrom;
     private long sequence;
     private long costTokens;
-    private long toldTokens;
+    private long reportedTokens;
     private boolean callerGone;
     private int executions;
 
@@ -39,19 +39,19 @@
         return attempts;
     }
 
-    /** The target of the running attempt, null while the request waits. */
+    /** The target of the running attempt; null while the request waits. */
     @Nullable
     TargetId target() {
         return target;
     }
 
-    /** The cell that the running attempt is accounted in, null while the request waits. */
+    /** The cell that accounts for the running attempt; null while the request waits. */
     @Nullable
     CellId cell() {
         return cell;
     }
 
-    /** The target whose kept prompt parts the running attempt's target fetches, null where there is none. */
+    /** The target from which the running attempt's target fetches cached prompt parts; null if there is none. */
     @Nullable
     TargetId fetchFrom() {
         return fetchFrom;
@@ -61,15 +61,15 @@
         fetchFrom = source;
     }
 
-    /** The name by which the cell's arbiter knows the running attempt. */
+    /** The sequence number under which the cell's arbiter accounts for the running attempt. */
     long sequence() {
         return sequence;
     }
 
-    /** From now on the arbiter knows the attempt by the name that a registration gives it. */
-    void renamed() {
+    /** Switches to the sequence number that a registration assigns: the negated request id. */
+    void useRegistrationSequence() {
         sequence = -spec.requestId();
-        toldTokens = costTokens;
+        reportedTokens = costTokens;
     }
 
     long costTokens() {
@@ -80,13 +80,13 @@
         costTokens = tokens;
     }
 
-    /** The cost that the arbiter was last told. */
-    long toldTokens() {
-        return toldTokens;
+    /** The cost last reported to the arbiter. */
+    long reportedTokens() {
+        return reportedTokens;
     }
 
-    void told() {
-        toldTokens = costTokens;
+    void markReported() {
+        reportedTokens = costTokens;
     }
 
     boolean callerGone() {
@@ -101,22 +101,22 @@
         return failedAt;
     }
 
-    boolean failedAt(TargetId candidate) {
+    boolean hasFailedAt(TargetId candidate) {
         return failedAt.contains(candidate);
     }
 
-    void started(TargetId atTarget, CellId inCell, long grantSequence) {
+    void attemptStarted(TargetId atTarget, CellId inCell, long grantSequence) {
         attempts++;
         target = atTarget;
         cell = inCell;
         sequence = grantSequence;
         costTokens = 0;
-        toldTokens = 0;
+        reportedTokens = 0;
     }
 
     /**
-     * Whether some attempt may have executed the request. It stays true through later attempts that certainly did not:
-     * a caller told "not run" after a broken first and a refused second attempt would repeat what the first one did.
+     * Whether any attempt may have executed the request. Stays true when a later attempt is rejected: a caller that
+     * received "not run" after a broken first and a rejected second attempt would repeat what the first one executed.
      */
     boolean mayHaveRun() {
         return executions > 0;
@@ -126,24 +126,24 @@
         executions++;
     }
 
-    /** How many attempts may have executed the request. */
+    /** The number of attempts that may have executed the request. */
     int executions() {
         return executions;
     }
 
-    /** The target was chosen and cannot be used; nothing was sent. */
-    void failedAtUnused(TargetId unused) {
+    /** Excludes a target that was selected but cannot be used; nothing was sent to it. */
+    void excludeUnusable(TargetId unused) {
         failedAt.add(unused);
     }
 
-    /** The running attempt's target belongs to another cell now, under the name a registration gives the attempt. */
+    /** The running attempt's target has moved to another cell, which learns of the attempt through a registration. */
     void movedTo(@Nullable CellId newCell) {
         cell = newCell;
-        renamed();
+        useRegistrationSequence();
     }
 
-    /** Back to waiting after a failed attempt. */
-    void failed() {
+    /** Returns the request to the waiting state after a failed attempt. */
+    void attemptFailed() {
         if (target != null) {
             failedAt.add(target);
         }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/FleetState.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/FleetState.java
@@ -17,11 +17,11 @@
 import org.marjoramswitch.kernel.settings.FleetSettings;
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
-/** What one instance holds of the fleet now: settings, view, cells, arbiters, leaving targets, broken links. */
+/** One instance's current state of the fleet: settings, view, cells, arbiters, draining targets, unreachable peers. */
 public final class FleetState {
     private static final double DEFAULT_WEIGHT = 1.0;
-    /** Above the targets of a fleet, so that what is dropped is long gone. */
-    private static final int MOST_SAID_LEAVING = 2_048;
+    /** Exceeds the number of targets in a fleet, so that only entries of targets that have long exited are dropped. */
+    private static final int MAX_SELF_REPORTED_LEAVING = 2_048;
 
     private final Set<InstanceId> unreachable = new TreeSet<>();
     private FleetSettings settings = FleetSettings.NONE;
@@ -29,8 +29,11 @@
     private CellMap cells = CellMap.of(FleetSettings.NONE);
     private ArbiterAssignment assignment;
     private Set<TargetId> listedLeaving = Set.of();
-    /** By the start that said so. A target never takes it back, so it is kept whatever lists say and when they come. */
-    private final Map<TargetId, Long> saidLeaving = new LinkedHashMap<>();
+    /**
+     * Start times of targets that reported themselves as draining. A target does not revoke this, so the entry stays
+     * valid regardless of the content and order of lists.
+     */
+    private final Map<TargetId, Long> selfReportedLeaving = new LinkedHashMap<>();
 
     private Set<TargetId> leavingTargets = Set.of();
 
@@ -55,7 +58,9 @@
         return cells;
     }
 
-    /** Those that a list names, and those that have said so themselves and have not started again since. */
+    /**
+     * Draining targets: those named by the list, and those that reported it themselves and have not restarted since.
+     */
     public Set<TargetId> leavingTargets() {
         return leavingTargets;
     }
@@ -66,7 +71,7 @@
 
     public void settings(FleetSettings newSettings) {
         settings = newSettings;
-        joinLeaving();
+        updateLeavingTargets();
         cells = CellMap.of(newSettings);
         assignment = ArbiterAssignment.of(cells.cells(), view);
     }
@@ -77,34 +82,34 @@
         assignment = ArbiterAssignment.of(cells.cells(), newView);
     }
 
-    /** Those that a list names, alone. */
+    /** Draining targets named by the list only. */
     public Set<TargetId> listedLeaving() {
         return listedLeaving;
     }
 
     public void leavingTargets(Collection<TargetId> leaving) {
         listedLeaving = new TreeSet<>(leaving);
-        joinLeaving();
+        updateLeavingTargets();
     }
 
-    /** A target has said that it leaves; false where that is known. */
+    /** Records that a target reported itself as draining; false if this was known for the same start. */
     public boolean markDraining(TargetId target, long startedAtMs) {
-        Long known = saidLeaving.put(target, startedAtMs);
-        if (saidLeaving.size() > MOST_SAID_LEAVING) {
-            saidLeaving.remove(saidLeaving.keySet().iterator().next());
+        Long known = selfReportedLeaving.put(target, startedAtMs);
+        if (selfReportedLeaving.size() > MAX_SELF_REPORTED_LEAVING) {
+            selfReportedLeaving.remove(selfReportedLeaving.keySet().iterator().next());
         }
-        boolean news = known == null || known != startedAtMs;
-        if (news) {
-            joinLeaving();
+        boolean isNew = known == null || known != startedAtMs;
+        if (isNew) {
+            updateLeavingTargets();
         }
-        return news;
+        return isNew;
     }
 
-    private void joinLeaving() {
+    private void updateLeavingTargets() {
         Set<TargetId> all = new TreeSet<>(listedLeaving);
-        saidLeaving.forEach((target, startedAtMs) -> {
-            TargetSettings now = settings.targets().get(target);
-            if (now == null || now.startedAtMs() == startedAtMs) {
+        selfReportedLeaving.forEach((target, startedAtMs) -> {
+            TargetSettings current = settings.targets().get(target);
+            if (current == null || current.startedAtMs() == startedAtMs) {
                 all.add(target);
             }
         });
@@ -119,12 +124,12 @@
         unreachable.add(peer);
     }
 
-    /** The arbiter that this instance turns to for the cell. */
+    /** The arbiter that this instance uses for the cell: the first reachable one in rank. Null if there is none. */
     public @Nullable InstanceId arbiter(CellId cell) {
         return assignment.reachable(cell, unreachable);
     }
 
-    /** The arbiter to turn to in place of one that can be reached but lags; null where there is none. */
+    /** The arbiter to use instead of one that is reachable but lags; null if there is none. */
     @Nullable
     InstanceId arbiterAfter(CellId cell, InstanceId lagging) {
         Set<InstanceId> excluded = new TreeSet<>(unreachable);
@@ -132,12 +137,12 @@
         return assignment.reachable(cell, excluded);
     }
 
-    /** The arbiter that the view names for the cell, whether it can be reached from here or not. */
+    /** The arbiter that the view assigns to the cell, whether or not it is reachable from this instance. */
     public @Nullable InstanceId assignedArbiter(CellId cell) {
         return assignment.arbiter(cell);
     }
 
-    /** The customer's weight; 1 where the settings do not know the customer any more. */
+    /** The customer's weight; 1 if the settings no longer contain the customer. */
     public double weight(CustomerId customer) {
         CustomerSettings known = settings.customers().get(customer);
         return known == null ? DEFAULT_WEIGHT : known.weight();
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Placements.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Placements.java
@@ -27,324 +27,328 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * Tracks this entry's placement questions: which arbiter was asked for a target for which request, and which arbiters count
- * the slot of a request that runs.
+ * Tracks this entry's placement requests: the arbiter that each was sent to, and the arbiters that account for the slot
+ * of a running request.
  *
- * <p>Each question has a number of its own, and an answer is accepted only for an open question and from the arbiter that was
- * asked last. When the cell's arbiter changes, or a link to it is re-established, open questions are sent again and the new
- * arbiter is notified of this entry's running requests in the cell. A late answer of the former arbiter is given back, so
- * that it frees the slot.
+ * <p>Each placement request has a unique id. A response is accepted only for an open placement request and only from
+ * the arbiter that it was last sent to. When the cell's arbiter changes, or a link to it is re-established, open
+ * placement requests are sent again and the new arbiter is notified of this entry's running requests in the cell. A
+ * placement that arrives late from the former arbiter is returned, so that it frees the slot.
  */
 final class Placements {
     private final InstanceId self;
-    private final FleetState plan;
-    private final TargetBackoffs rests;
-    private final ArbiterBackoffs lateArbiters = new ArbiterBackoffs();
-    private final Map<Long, Question> byNumber = new TreeMap<>();
-    private final Map<Long, Question> byRequest = new HashMap<>();
+    private final FleetState fleet;
+    private final TargetBackoffs targetBackoffs;
+    private final ArbiterBackoffs arbiterBackoffs = new ArbiterBackoffs();
+    private final Map<Long, PlacementRequest> byId = new TreeMap<>();
+    private final Map<Long, PlacementRequest> byRequest = new HashMap<>();
     /** For each cell, the arbiter that was notified of this entry's running requests. */
-    private final Map<CellId, InstanceId> told = new TreeMap<>();
+    private final Map<CellId, InstanceId> notifiedArbiters = new TreeMap<>();
 
-    private final PriorityQueue<Question> answerDue =
-            new PriorityQueue<>(Comparator.comparingLong((Question question) -> question.answerDueAtMs)
-                    .thenComparingLong(question -> question.number));
-    private long lastNumber;
+    private final PriorityQueue<PlacementRequest> responseDue =
+            new PriorityQueue<>(Comparator.comparingLong((PlacementRequest placement) -> placement.responseDueAtMs)
+                    .thenComparingLong(placement -> placement.id));
+    private long lastId;
     private long resumedAtMs = Long.MIN_VALUE;
 
-    Placements(InstanceId self, FleetState plan, TargetBackoffs rests) {
+    Placements(InstanceId self, FleetState fleet, TargetBackoffs targetBackoffs) {
         this.self = self;
-        this.plan = plan;
-        this.rests = rests;
+        this.fleet = fleet;
+        this.targetBackoffs = targetBackoffs;
     }
 
-    /** Asks for a target; false if the pool has none. */
-    boolean ask(EntryRequest request, long nowMs, ActionSink sink) {
+    /** Sends a placement request; false if the pool has no target. */
+    boolean requestPlacement(EntryRequest request, long nowMs, ActionSink sink) {
         CellId cell = cell(request);
         InstanceId arbiter = cell == null ? null : arbiter(cell, nowMs);
         if (cell == null || arbiter == null) {
             return false;
         }
-        Question question = new Question(++lastNumber, request, cell, arbiter, nowMs);
-        answerDue.add(question);
-        byNumber.put(question.number, question);
-        byRequest.put(request.spec().requestId(), question);
-        tellHeld(cell, arbiter, sink);
-        put(question, nowMs, sink);
+        PlacementRequest placement = new PlacementRequest(++lastId, request, cell, arbiter, nowMs);
+        responseDue.add(placement);
+        byId.put(placement.id, placement);
+        byRequest.put(request.spec().requestId(), placement);
+        sendHeld(cell, arbiter, sink);
+        sendPlace(placement, nowMs, sink);
         return true;
     }
 
     /** Time until any target accepts requests again; 0 if one does now. */
-    long restLeftMs(EntryRequest request, long nowMs) {
+    long backoffRemainingMs(EntryRequest request, long nowMs) {
         CellId cell = cell(request);
-        return cell == null ? 0 : rests.leftMs(targets(cell), nowMs);
+        return cell == null ? 0 : targetBackoffs.remainingMs(targets(cell), nowMs);
     }
 
-    /** Whether the request's question excluded the target, so that the arbiter offered it for lack of another. */
-    boolean leftOut(EntryRequest request, TargetId target) {
-        Question question = byRequest.get(request.spec().requestId());
-        return question != null && question.excluded.contains(target);
+    /** Whether the placement request excluded the target, so that the arbiter selected it for lack of another one. */
+    boolean wasExcluded(EntryRequest request, TargetId target) {
+        PlacementRequest placement = byRequest.get(request.spec().requestId());
+        return placement != null && placement.excluded.contains(target);
     }
 
-    /** Asks again for requests that had excluded targets in backoff, now that a backoff has elapsed. */
-    void restEnded(long nowMs, ActionSink sink) {
-        for (Question question : List.copyOf(byNumber.values())) {
-            if (question.spared) {
-                put(question, nowMs, sink);
+    /** Re-sends placement requests that excluded targets in backoff, now that a backoff has elapsed. */
+    void backoffEnded(long nowMs, ActionSink sink) {
+        for (PlacementRequest placement : List.copyOf(byId.values())) {
+            if (placement.excludesBackedOff) {
+                sendPlace(placement, nowMs, sink);
             }
         }
     }
 
-    /** Withdraws the question of a request that ended while waiting. */
+    /** Withdraws the placement request of a request that ended while waiting. */
     void withdraw(EntryRequest request, ActionSink sink) {
-        Question question = byRequest.get(request.spec().requestId());
-        if (question != null) {
-            close(question);
-            send(question, new PeerMessage.PlaceWithdrawn(question.cell, question.number), sink);
+        PlacementRequest placement = byRequest.get(request.spec().requestId());
+        if (placement != null) {
+            close(placement);
+            send(placement, new PeerMessage.PlaceWithdrawn(placement.cell, placement.id), sink);
         }
     }
 
-    /** Accepts a placement; null if it answers no open question, in which case it is given back. */
+    /**
+     * Accepts a placement; null if it matches no open placement request, in which case it is returned to the arbiter.
+     */
     @Nullable
     EntryRequest placed(InstanceId from, PeerMessage.Placed placed, long nowMs, ActionSink sink) {
-        Question question = byNumber.get(placed.ask());
-        boolean open = question != null && !question.placed && from.equals(question.arbiter);
-        if (question == null || !open) {
-            giveBack(from, placed, sink);
+        PlacementRequest placement = byId.get(placed.ask());
+        boolean open = placement != null && !placement.placed && from.equals(placement.arbiter);
+        if (placement == null || !open) {
+            returnPlacement(from, placed, sink);
             return null;
         }
-        noteDelay(question, placed.heldMs(), nowMs, sink);
-        question.placed = true;
-        question.counting.add(from);
-        return question.request;
+        recordDelay(placement, placed.heldMs(), nowMs, sink);
+        placement.placed = true;
+        placement.accountingArbiters.add(from);
+        return placement.request;
     }
 
-    /** Gives a placement back whose target cannot be used. */
-    void giveBack(InstanceId from, PeerMessage.Placed placed, ActionSink sink) {
+    /** Returns a placement that is not used, so that the arbiter frees the slot. */
+    void returnPlacement(InstanceId from, PeerMessage.Placed placed, ActionSink sink) {
         sink.accept(new Action.SendPeer(
                 from, new PeerMessage.PlacementEnded(placed.cell(), placed.ask(), 0, PlacementEnd.NOT_RUN)));
     }
 
-    /** Accepts a rejection; null if it answers no open question. */
+    /** Accepts a rejection; null if it matches no open placement request. */
     @Nullable
-    EntryRequest notPlaced(InstanceId from, PeerMessage.NotPlaced refused, long nowMs, ActionSink sink) {
-        Question question = byNumber.get(refused.ask());
-        if (question == null || question.placed || !from.equals(question.arbiter)) {
+    EntryRequest notPlaced(InstanceId from, PeerMessage.NotPlaced rejection, long nowMs, ActionSink sink) {
+        PlacementRequest placement = byId.get(rejection.ask());
+        if (placement == null || placement.placed || !from.equals(placement.arbiter)) {
             return null;
         }
-        noteDelay(question, refused.heldMs(), nowMs, sink);
-        close(question);
-        return question.request;
+        recordDelay(placement, rejection.heldMs(), nowMs, sink);
+        close(placement);
+        return placement.request;
     }
 
-    /** Nothing came from an arbiter that an answer is awaited from. */
-    void silent(InstanceId arbiter, long nowMs, ActionSink sink) {
-        late(arbiter, "silent", nowMs, sink);
+    /** Starts a backoff of an arbiter that owes a response and sent no message. */
+    void arbiterSilent(InstanceId arbiter, long nowMs, ActionSink sink) {
+        recordLate(arbiter, "silent", nowMs, sink);
     }
 
-    private void noteDelay(Question question, long heldMs, long nowMs, ActionSink sink) {
-        long delayMs = nowMs - question.putAtMs - heldMs;
-        if (ArbiterBackoffs.isLate(delayMs) && question.putAtMs >= resumedAtMs) {
-            late(question.arbiter, "delayed", nowMs, sink);
+    private void recordDelay(PlacementRequest placement, long heldMs, long nowMs, ActionSink sink) {
+        long delayMs = nowMs - placement.sentAtMs - heldMs;
+        if (ArbiterBackoffs.isLate(delayMs) && placement.sentAtMs >= resumedAtMs) {
+            recordLate(placement.arbiter, "delayed", nowMs, sink);
         }
     }
 
-    /** This instance was paused, so that answers which are late or missing now say nothing of the arbiters. */
-    void resumed(long nowMs) {
+    /** This instance was paused, so responses that are late or missing now are not attributed to the arbiters. */
+    void processResumed(long nowMs) {
         resumedAtMs = nowMs;
     }
 
-    private void late(InstanceId arbiter, String reason, long nowMs, ActionSink sink) {
+    private void recordLate(InstanceId arbiter, String reason, long nowMs, ActionSink sink) {
         if (arbiter.equals(self) || nowMs == resumedAtMs) {
             return;
         }
-        long backoffMs = lateArbiters.late(arbiter, nowMs);
+        long backoffMs = arbiterBackoffs.recordLateResponse(arbiter, nowMs);
         if (backoffMs > 0) {
             sink.accept(new Action.Decided(
                     Decision.of("arbiter_late", "arbiter", arbiter, "reason", reason, "backoffMs", backoffMs)));
         }
     }
 
-    /** Ends the questions that an arbiter without backlog would have answered by now; returns their requests. */
+    /**
+     * Closes placement requests that an arbiter without backlog would have responded to by now; returns their requests.
+     */
     List<EntryRequest> takeOverdue(long nowMs, ActionSink sink) {
         List<EntryRequest> overdue = new ArrayList<>();
-        while (!answerDue.isEmpty() && answerDue.peek().answerDueAtMs <= nowMs) {
-            Question question = answerDue.poll();
-            if (question.placed || byNumber.get(question.number) != question) {
+        while (!responseDue.isEmpty() && responseDue.peek().responseDueAtMs <= nowMs) {
+            PlacementRequest placement = responseDue.poll();
+            if (placement.placed || byId.get(placement.id) != placement) {
                 continue;
             }
-            late(question.arbiter, "overdue", nowMs, sink);
-            withdraw(question.request, sink);
-            overdue.add(question.request);
+            recordLate(placement.arbiter, "overdue", nowMs, sink);
+            withdraw(placement.request, sink);
+            overdue.add(placement.request);
         }
         return overdue;
     }
 
-    /** The first byte of the running attempt's answer has arrived. */
+    /** The first byte of the running attempt's response has arrived. */
     void answering(EntryRequest request, ActionSink sink) {
-        Question question = byRequest.get(request.spec().requestId());
-        if (question == null || !question.placed || question.answering) {
+        PlacementRequest placement = byRequest.get(request.spec().requestId());
+        if (placement == null || !placement.placed || placement.answering) {
             return;
         }
-        question.answering = true;
-        sendToCounting(question, new PeerMessage.PlacementAnswering(question.cell, question.number), sink);
+        placement.answering = true;
+        sendToAccounting(placement, new PeerMessage.PlacementAnswering(placement.cell, placement.id), sink);
     }
 
     /**
-     * The running attempt ended. A stream tells events and not tokens, of which an event may hold several, so what was
-     * expected counts as made where the whole answer came.
+     * The running attempt ended. A stream is counted in events, each of which may contain several tokens, so after a
+     * complete response the expected number of output tokens counts as produced.
      */
     void ended(EntryRequest request, PlacementEnd end, ActionSink sink) {
-        Question question = byRequest.get(request.spec().requestId());
-        if (question != null && question.placed) {
-            close(question);
-            long outputTokens = end == PlacementEnd.SERVED ? question.spec().outputTokens() : 0;
-            sendToCounting(
-                    question, new PeerMessage.PlacementEnded(question.cell, question.number, outputTokens, end), sink);
+        PlacementRequest placement = byRequest.get(request.spec().requestId());
+        if (placement != null && placement.placed) {
+            close(placement);
+            long outputTokens = end == PlacementEnd.SERVED ? placement.spec().outputTokens() : 0;
+            sendToAccounting(
+                    placement, new PeerMessage.PlacementEnded(placement.cell, placement.id, outputTokens, end), sink);
         }
     }
 
-    /** Re-sends open questions whose cell or arbiter has changed. */
-    void follow(long nowMs, ActionSink sink) {
-        told.entrySet().removeIf(known -> !known.getValue().equals(arbiter(known.getKey(), nowMs)));
-        for (Question question : List.copyOf(byNumber.values())) {
-            CellId cell = plan.cells().targets(question.cell).isEmpty() ? cell(question.request) : question.cell;
+    /** Re-sends open placement requests whose cell or arbiter has changed. */
+    void followFleet(long nowMs, ActionSink sink) {
+        notifiedArbiters.entrySet().removeIf(known -> !known.getValue().equals(arbiter(known.getKey(), nowMs)));
+        for (PlacementRequest placement : List.copyOf(byId.values())) {
+            CellId cell = fleet.cells().targets(placement.cell).isEmpty() ? cell(placement.request) : placement.cell;
             InstanceId arbiter = cell == null ? null : arbiter(cell, nowMs);
-            if (cell != null && arbiter != null && question.isElsewhere(cell, arbiter)) {
-                move(question, cell, arbiter, nowMs, sink);
+            if (cell != null && arbiter != null && placement.hasMoved(cell, arbiter)) {
+                move(placement, cell, arbiter, nowMs, sink);
             }
         }
     }
 
     /** A new link to a peer is up: messages on the old one are lost, and the peer has dropped this entry's state. */
     void connected(InstanceId peer, long nowMs, ActionSink sink) {
-        told.values().removeIf(peer::equals);
-        for (Question question : List.copyOf(byNumber.values())) {
-            if (peer.equals(question.arbiter)) {
-                tellHeld(question.cell, peer, sink);
-                put(question, nowMs, sink);
+        notifiedArbiters.values().removeIf(peer::equals);
+        for (PlacementRequest placement : List.copyOf(byId.values())) {
+            if (peer.equals(placement.arbiter)) {
+                sendHeld(placement.cell, peer, sink);
+                sendPlace(placement, nowMs, sink);
             }
         }
     }
 
-    /** The arbiters that an answer is awaited from. */
-    Set<InstanceId> awaited() {
+    /** The arbiters, other than this instance, that owe a response. */
+    Set<InstanceId> awaitedArbiters() {
         Set<InstanceId> awaited = new TreeSet<>();
-        for (Question question : byNumber.values()) {
-            if (!question.placed && !question.arbiter.equals(self)) {
-                awaited.add(question.arbiter);
+        for (PlacementRequest placement : byId.values()) {
+            if (!placement.placed && !placement.arbiter.equals(self)) {
+                awaited.add(placement.arbiter);
             }
         }
         return awaited;
     }
 
     /**
-     * The arbiter to ask: the next in rank where the first answers late. Where both are late this instance is the one that
-     * lags, and asking ever further arbiters would only spread what is known of the targets over all of them.
+     * The arbiter to use: the next in rank if the first responds late. If both are late, this instance is the one that
+     * lags; using further arbiters would only spread the knowledge about the targets over all of them.
      */
     private @Nullable InstanceId arbiter(CellId cell, long nowMs) {
-        InstanceId first = plan.arbiter(cell);
-        if (first == null || !lateArbiters.isInBackoff(first, nowMs)) {
+        InstanceId first = fleet.arbiter(cell);
+        if (first == null || !arbiterBackoffs.isInBackoff(first, nowMs)) {
             return first;
         }
-        InstanceId second = plan.arbiterAfter(cell, first);
-        return second == null || lateArbiters.isInBackoff(second, nowMs) ? first : second;
+        InstanceId second = fleet.arbiterAfter(cell, first);
+        return second == null || arbiterBackoffs.isInBackoff(second, nowMs) ? first : second;
     }
 
-    private void move(Question question, CellId cell, InstanceId arbiter, long nowMs, ActionSink sink) {
-        if (!question.placed) {
-            send(question, new PeerMessage.PlaceWithdrawn(question.cell, question.number), sink);
+    private void move(PlacementRequest placement, CellId cell, InstanceId arbiter, long nowMs, ActionSink sink) {
+        if (!placement.placed) {
+            send(placement, new PeerMessage.PlaceWithdrawn(placement.cell, placement.id), sink);
         }
-        question.cell = cell;
-        question.arbiter = arbiter;
-        tellHeld(cell, arbiter, sink);
-        put(question, nowMs, sink);
+        placement.cell = cell;
+        placement.arbiter = arbiter;
+        sendHeld(cell, arbiter, sink);
+        sendPlace(placement, nowMs, sink);
     }
 
     /** Notifies an arbiter that is new to this entry of the running requests in the cell. */
-    private void tellHeld(CellId cell, InstanceId arbiter, ActionSink sink) {
-        if (arbiter.equals(told.put(cell, arbiter))) {
+    private void sendHeld(CellId cell, InstanceId arbiter, ActionSink sink) {
+        if (arbiter.equals(notifiedArbiters.put(cell, arbiter))) {
             return;
         }
         List<PeerMessage.HeldPlacement> held = new ArrayList<>();
-        for (Question question : byNumber.values()) {
-            TargetId target = question.request.target();
-            if (!question.placed || target == null || !cell.equals(question.cell)) {
+        for (PlacementRequest placement : byId.values()) {
+            TargetId target = placement.request.target();
+            if (!placement.placed || target == null || !cell.equals(placement.cell)) {
                 continue;
             }
-            question.arbiter = arbiter;
-            question.counting.add(arbiter);
-            PlacementSpec spec = question.spec();
+            placement.arbiter = arbiter;
+            placement.accountingArbiters.add(arbiter);
+            PlacementSpec spec = placement.spec();
             held.add(new PeerMessage.HeldPlacement(
-                    question.number,
-                    question.request.spec().customer(),
+                    placement.id,
+                    placement.request.spec().customer(),
                     target,
                     spec.promptTokens(),
                     spec.outputTokens(),
-                    question.answering));
+                    placement.answering));
         }
         if (!held.isEmpty()) {
             sink.accept(new Action.SendPeer(arbiter, new PeerMessage.PlacementsHeld(cell, held)));
         }
     }
 
-    private void put(Question question, long nowMs, ActionSink sink) {
-        if (question.placed) {
+    private void sendPlace(PlacementRequest placement, long nowMs, ActionSink sink) {
+        if (placement.placed) {
             return;
         }
-        question.putAtMs = nowMs;
-        EntryRequest request = question.request;
-        PlacementSpec spec = question.spec();
-        Set<TargetId> resting = rests.resting(nowMs);
-        question.spared = !resting.isEmpty();
-        question.excluded = excluded(question, resting);
+        placement.sentAtMs = nowMs;
+        EntryRequest request = placement.request;
+        PlacementSpec spec = placement.spec();
+        Set<TargetId> backedOff = targetBackoffs.backedOffTargets(nowMs);
+        placement.excludesBackedOff = !backedOff.isEmpty();
+        placement.excluded = excluded(placement, backedOff);
         send(
-                question,
+                placement,
                 new PeerMessage.Place(
-                        question.cell,
-                        question.number,
+                        placement.cell,
+                        placement.id,
                         request.spec().customer(),
                         request.spec().urgency(),
                         spec.prompt(),
                         spec.outputTokens(),
                         spec.objectiveAtMs() - nowMs,
                         request.spec().deadlineMs() - nowMs,
-                        question.excluded),
+                        placement.excluded),
                 sink);
     }
 
     /**
-     * The targets in backoff and those that have failed the request. An arbiter ignores a list of all targets, so the failed
-     * ones are allowed again in that case; a target in backoff would reject the request.
+     * The targets in backoff and those that have failed the request. An arbiter ignores a list of all targets, so the
+     * failed ones are allowed again in that case; a target in backoff would reject the request.
      */
-    private List<TargetId> excluded(Question question, Set<TargetId> resting) {
-        Set<TargetId> excluded = new TreeSet<>(resting);
-        excluded.addAll(question.request.failedTargets());
-        boolean anyLeft = !excluded.containsAll(targets(question.cell));
-        return List.copyOf(anyLeft ? excluded : resting);
+    private List<TargetId> excluded(PlacementRequest placement, Set<TargetId> backedOff) {
+        Set<TargetId> excluded = new TreeSet<>(backedOff);
+        excluded.addAll(placement.request.failedTargets());
+        boolean anyLeft = !excluded.containsAll(targets(placement.cell));
+        return List.copyOf(anyLeft ? excluded : backedOff);
     }
 
     private List<TargetId> targets(CellId cell) {
-        return plan.cells().targets(cell).stream().map(TargetSettings::id).toList();
+        return fleet.cells().targets(cell).stream().map(TargetSettings::id).toList();
     }
 
-    private void close(Question question) {
-        byNumber.remove(question.number);
-        byRequest.remove(question.request.spec().requestId());
+    private void close(PlacementRequest placement) {
+        byId.remove(placement.id);
+        byRequest.remove(placement.request.spec().requestId());
     }
 
-    /** All arbiters that count the request's slot are notified, or it would stay taken in their books. */
-    private static void sendToCounting(Question question, PeerMessage message, ActionSink sink) {
-        question.counting.forEach(arbiter -> sink.accept(new Action.SendPeer(arbiter, message)));
+    /** Notifies all arbiters that account for the request's slot; otherwise the slot would stay occupied there. */
+    private static void sendToAccounting(PlacementRequest placement, PeerMessage message, ActionSink sink) {
+        placement.accountingArbiters.forEach(arbiter -> sink.accept(new Action.SendPeer(arbiter, message)));
     }
 
-    private static void send(Question question, PeerMessage message, ActionSink sink) {
-        sink.accept(new Action.SendPeer(question.arbiter, message));
+    private static void send(PlacementRequest placement, PeerMessage message, ActionSink sink) {
+        sink.accept(new Action.SendPeer(placement.arbiter, message));
     }
 
-    /** The cell for a request; all requests of a session use the same one, so that they find their prompt cached. */
+    /** The cell for a request. All requests of a session use the same one, so that they find their prompt cached. */
     private @Nullable CellId cell(EntryRequest request) {
         PoolId pool = request.spec().pool();
-        List<CellId> cells = plan.cells().cells(pool);
+        List<CellId> cells = fleet.cells().cells(pool);
         if (cells.size() < 2) {
             return cells.isEmpty() ? null : cells.get(0);
         }
@@ -356,28 +360,28 @@
         return Rendezvous.rank(key, cells).get(0);
     }
 
-    /** One question, until the request's end at the target. */
-    private static final class Question {
-        private final long number;
+    /** One placement request, kept until the request ends at the target. */
+    private static final class PlacementRequest {
+        private final long id;
         private final EntryRequest request;
-        private final long answerDueAtMs;
+        private final long responseDueAtMs;
         private CellId cell;
         private InstanceId arbiter;
-        private long putAtMs;
+        private long sentAtMs;
         private boolean placed;
         private boolean answering;
-        /** The arbiters in whose books the request has a slot: the one that placed it and those told of it since. */
-        private final Set<InstanceId> counting = new TreeSet<>();
+        /** The arbiters that account for the slot: the one that placed the request and those notified of it since. */
+        private final Set<InstanceId> accountingArbiters = new TreeSet<>();
         /** Whether targets are excluded because they are in backoff. */
-        private boolean spared;
+        private boolean excludesBackedOff;
 
         private List<TargetId> excluded = List.of();
 
-        private Question(long number, EntryRequest request, CellId cell, InstanceId arbiter, long nowMs) {
-            this.number = number;
+        private PlacementRequest(long id, EntryRequest request, CellId cell, InstanceId arbiter, long nowMs) {
+            this.id = id;
             this.request = request;
             PlacementSpec placement = Objects.requireNonNull(request.spec().placement());
-            this.answerDueAtMs = LateHold.answerDueAtMs(
+            this.responseDueAtMs = LateHold.answerDueAtMs(
                     placement.objectiveAtMs(), request.spec().deadlineMs(), nowMs);
             this.cell = cell;
             this.arbiter = arbiter;
@@ -387,7 +391,7 @@
             return Objects.requireNonNull(request.spec().placement());
         }
 
-        private boolean isElsewhere(CellId newCell, InstanceId newArbiter) {
+        private boolean hasMoved(CellId newCell, InstanceId newArbiter) {
             return !newCell.equals(cell) || !newArbiter.equals(arbiter);
         }
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/PoolQueues.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/PoolQueues.java
@@ -12,18 +12,20 @@
 import org.marjoramswitch.kernel.model.CustomerId;
 import org.marjoramswitch.kernel.model.PoolId;
 
-/** One pool's waiting requests at this entry, and what goes with them. */
+/** One pool's queues at this entry, with its drain rates, retry budgets, prefix directory and home cells. */
 final class PoolQueues {
     private final PoolId pool;
     private final Map<CustomerId, CustomerQueue> waiting = new TreeMap<>();
-    private final Map<CustomerId, DrainRate> rates = new TreeMap<>();
+    private final Map<CustomerId, DrainRate> drainRates = new TreeMap<>();
     private final RetryBudget retries = RetryBudget.create();
     private final WindowedRetryBudget resends = WindowedRetryBudget.create();
     private final PrefixDirectory prefixes = new PrefixDirectory();
     private final Map<CustomerId, CellId> homes = new TreeMap<>();
     private final String instance;
 
-    /** @param instance this instance's name; the customers' first home cells differ between instances by it */
+    /**
+     * @param instance this instance's name, which makes the initial home cells of a customer differ between instances
+     */
     PoolQueues(PoolId pool, String instance) {
         this.pool = pool;
         this.instance = instance;
@@ -37,7 +39,7 @@
         return retries;
     }
 
-    /** Second sends of placed requests. */
+    /** The retry budget of placed requests. */
     WindowedRetryBudget resends() {
         return resends;
     }
@@ -46,11 +48,11 @@
         return prefixes;
     }
 
-    DrainRate rate(CustomerId customer) {
-        return rates.computeIfAbsent(customer, missing -> new DrainRate());
+    DrainRate drainRate(CustomerId customer) {
+        return drainRates.computeIfAbsent(customer, missing -> new DrainRate());
     }
 
-    /** The queues that are not empty. */
+    /** The non-empty queues. */
     Collection<CustomerQueue> backlogged() {
         return waiting.values();
     }
@@ -87,9 +89,9 @@
     }
 
     /**
-     * The cell that a customer's requests are offered to first: the one that granted the last of them, to begin with
-     * the one of the highest rendezvous weight. So an entry has links to few arbiters, a customer's prompts meet few
-     * caches, and a customer whose cell is full moves to the cell that had a slot for it.
+     * The cell that a customer's requests are offered to first: the one that granted the last of them, initially the
+     * one with the highest rendezvous weight. An entry thus has links to few arbiters, a customer's prompts use few
+     * caches, and a customer whose cell is full moves to a cell that had a slot for it.
      */
     CellId home(CustomerId customer, List<CellId> cells) {
         CellId home = homes.get(customer);
@@ -99,7 +101,7 @@
         return Rendezvous.rank(instance + "/" + customer, cells).get(0);
     }
 
-    void granted(CustomerId customer, CellId cell) {
+    void recordGrant(CustomerId customer, CellId cell) {
         homes.put(customer, cell);
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/PrefixDirectory.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/PrefixDirectory.java
@@ -6,28 +6,28 @@
 import org.marjoramswitch.kernel.model.TargetId;
 
 /**
- * Which target probably holds a prompt prefix: the one this entry last sent it to, or the one whose cache event named
- * it last. Events come late and with gaps, so this is a hint, and a wrong one costs prefill time only. Bounded; the
- * prefix unused for longest is forgotten first.
+ * Maps prompt prefixes to the target that probably has them cached: the one that this entry last sent the prefix to, or
+ * the one whose cache event named it last. Events arrive late and with gaps, so an entry is a hint; a wrong one costs
+ * prefill time only. Bounded, with least-recently-used eviction.
  */
 final class PrefixDirectory {
-    private static final int MOST_PREFIXES = 10_000;
+    private static final int MAX_PREFIXES = 10_000;
     private static final float LOAD_FACTOR = 0.75f;
 
     private final Map<Long, TargetId> targetByPrefix = new LinkedHashMap<>(16, LOAD_FACTOR, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, TargetId> eldest) {
-            return size() > MOST_PREFIXES;
+            return size() > MAX_PREFIXES;
         }
     };
 
-    void note(TargetId target, long prefixHash) {
+    void record(TargetId target, long prefixHash) {
         if (prefixHash != 0) {
             targetByPrefix.put(prefixHash, target);
         }
     }
 
-    void forget(TargetId target, long prefixHash) {
+    void remove(TargetId target, long prefixHash) {
         if (target.equals(targetByPrefix.get(prefixHash))) {
             targetByPrefix.remove(prefixHash);
         }
@@ -38,7 +38,7 @@
     }
 
     @Nullable
-    TargetId target(long prefixHash) {
+    TargetId probableHolder(long prefixHash) {
         return prefixHash == 0 ? null : targetByPrefix.get(prefixHash);
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Registrations.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Registrations.java
@@ -18,141 +18,143 @@
 import org.marjoramswitch.kernel.model.TargetId;
 
 /**
- * Keeps an entry registered with the right arbiter of each cell that it uses.
+ * Keeps an entry registered with the current arbiter of each cell that it uses.
  *
- * <p>The right one is the first in the cell's rank that can be reached from here. Whenever that changes, whenever a link
- * to it is new and whenever it says that it knows nothing of this entry, the entry registers its whole state anew; so
- * nothing has to be remembered of what was under way. An arbiter that is silent while requests wait for its grants is
- * left without waiting for the membership, and taken back when it is heard again.
+ * <p>The current arbiter is the first in the cell's rank that is reachable from this instance. Whenever it changes, a
+ * new link to it comes up or it reports that it has no registration of this entry, the entry registers its complete
+ * state again, so messages under way need not be tracked. An arbiter that is silent while requests wait for its grants
+ * is replaced without waiting for the membership, and used again after its next message.
  *
- * <p>Example: arbiter b is paused. After 400 ms the entry registers with c, which grants. Then b resumes, works through
- * what had queued up for it and grants from its old books. Its first message shows that it is back; the entry sends a
- * probe and registers with b. Grants that come before the probe's answer are from the old books and are declined, the
- * later ones are bound.
+ * <p>Example: arbiter b is paused. After 400 ms the entry registers with c, which grants. Then b resumes, processes its
+ * queued messages and grants from outdated state. Its first message shows that it is reachable; the entry sends a probe
+ * and registers with b. Grants that arrive before the reply to the probe are based on the outdated state and are
+ * declined, later ones are bound.
  */
 public final class Registrations {
-    /** How long after its registration window a succeeding arbiter's first grants may still be under way. */
+    /** Time after a new arbiter's registration window for which its first grants may still be under way. */
     private static final long SUCCESSION_MARGIN_MS = 50;
 
     private final InstanceId self;
     private final KernelOptions options;
-    private final FleetState plan;
-    private final DemandPublisher offers;
+    private final FleetState fleet;
+    private final DemandPublisher demand;
     private final Function<PoolId, PoolQueues> pools;
     private final Collection<EntryRequest> requests;
-    private final SilentPeerDetector watch = SilentPeerDetector.create();
+    private final SilentPeerDetector silenceDetector = SilentPeerDetector.create();
     private long lastProbe;
 
     /** @param requests the entry's open requests, a live view */
     Registrations(
             InstanceId self,
             KernelOptions options,
-            FleetState plan,
-            DemandPublisher offers,
+            FleetState fleet,
+            DemandPublisher demand,
             Function<PoolId, PoolQueues> pools,
             Collection<EntryRequest> requests) {
         this.self = self;
         this.options = options;
-        this.plan = plan;
-        this.offers = offers;
+        this.fleet = fleet;
+        this.demand = demand;
         this.pools = pools;
         this.requests = requests;
     }
 
-    /** Arbiters, cells or links may have changed: follows them. */
+    /** Adapts the registrations to changed arbiters, cells or links. */
     public void fleetChanged(long nowMs, ActionSink sink) {
         for (EntryRequest request : requests) {
             followTarget(request, nowMs);
         }
-        for (CellLink link : List.copyOf(offers.links())) {
+        for (CellLink link : List.copyOf(demand.links())) {
             followArbiter(link, nowMs, sink);
         }
     }
 
-    /** Something came from a peer: it is there, whatever was thought of it. */
+    /** Marks a peer as reachable, since a message arrived from it. */
     public void messageReceived(InstanceId peer, long nowMs, ActionSink sink) {
-        watch.messageReceived(peer, nowMs);
-        if (plan.unreachable().contains(peer)) {
-            plan.reachable(peer, true);
+        silenceDetector.messageReceived(peer, nowMs);
+        if (fleet.unreachable().contains(peer)) {
+            fleet.reachable(peer, true);
             fleetChanged(nowMs, sink);
         }
     }
 
-    /** A new link to a peer came up: whatever was on the old one is lost, so it gets the whole state. */
+    /** Registers over a new link to a peer: messages on the old one are lost, so the complete state is sent. */
     public void connected(InstanceId peer, long nowMs, ActionSink sink) {
-        for (CellLink link : List.copyOf(offers.links())) {
-            if (peer.equals(link.arbiter()) && link.registered()) {
-                link.barrier(0);
-                registerAnew(link, nowMs, sink);
+        for (CellLink link : List.copyOf(demand.links())) {
+            if (peer.equals(link.arbiter()) && link.isRegistered()) {
+                link.setBarrier(0);
+                reregister(link, nowMs, sink);
             }
         }
     }
 
-    /** The cell's arbiter says that it holds no registration of this entry. */
+    /** Handles an arbiter's report that it has no registration of this entry: registers again if the cell is in use. */
     public void registrationLost(InstanceId from, CellId cell, long nowMs, ActionSink sink) {
-        CellLink link = offers.linkOrNull(cell);
-        if (link == null || !from.equals(link.arbiter()) || !link.registered()) {
+        CellLink link = demand.linkOrNull(cell);
+        if (link == null || !from.equals(link.arbiter()) || !link.isRegistered()) {
             return;
         }
-        link.unregistered();
+        link.markUnregistered();
         if (inUse(link)) {
-            registerAnew(link, nowMs, sink);
+            reregister(link, nowMs, sink);
         }
     }
 
-    /** A peer answered a probe. */
+    /** Handles the reply to a probe. */
     public void probeAnswered(InstanceId peer, long probe) {
-        for (CellLink link : offers.links()) {
+        for (CellLink link : demand.links()) {
             if (peer.equals(link.arbiter())) {
-                link.answered(probe);
+                link.probeAnswered(probe);
             }
         }
     }
 
-    /** Probes a peer and returns the probe's number. */
+    /** Sends a probe to a peer and returns the probe's number. */
     public long probe(InstanceId peer, ActionSink sink) {
         lastProbe++;
         sink.accept(new Action.SendPeer(peer, new PeerMessage.Probe(lastProbe)));
         return lastProbe;
     }
 
-    /** Tries peers again that could not be reached; one that answers is heard. */
+    /** Probes unreachable peers; a reply marks the peer as reachable. */
     public void probeUnreachable(ActionSink sink) {
-        plan.unreachable().forEach(peer -> probe(peer, sink));
+        fleet.unreachable().forEach(peer -> probe(peer, sink));
     }
 
-    /** Leaves silent arbiters, registers what changed, and unregisters where nothing was asked for long. */
+    /**
+     * Replaces silent arbiters, registers changed holdings, and unregisters from cells that have been idle for long.
+     */
     void tick(long nowMs, ActionSink sink) {
-        watchArbiters(nowMs, sink);
-        for (CellLink link : List.copyOf(offers.links())) {
+        replaceSilentArbiters(nowMs, sink);
+        for (CellLink link : List.copyOf(demand.links())) {
             maintain(link, nowMs, sink);
         }
     }
 
-    /** Whether the cell's arbiter cannot grant now: unreachable, or new and collecting registrations. */
+    /** Whether the cell's arbiter cannot grant now because it is unreachable, or new and collecting registrations. */
     boolean arbiterSilent(CellLink link, long nowMs) {
         InstanceId arbiter = link.arbiter();
-        if (arbiter == null || plan.unreachable().contains(arbiter)) {
+        if (arbiter == null || fleet.unreachable().contains(arbiter)) {
             return true;
         }
         long openAtMs = link.arbiterSinceMs() + options.registrationWindowMs() + SUCCESSION_MARGIN_MS;
-        return link.succeeding() && nowMs < openAtMs;
+        return link.isSuccessor() && nowMs < openAtMs;
     }
 
-    private void watchArbiters(long nowMs, ActionSink sink) {
+    private void replaceSilentArbiters(long nowMs, ActionSink sink) {
         Set<InstanceId> awaited = new TreeSet<>();
-        for (CellLink link : offers.links()) {
+        for (CellLink link : demand.links()) {
             InstanceId arbiter = link.arbiter();
             if (arbiter != null && !arbiter.equals(self) && link.awaitsGrants()) {
                 awaited.add(arbiter);
             }
         }
-        awaited.removeAll(plan.unreachable());
-        List<InstanceId> silent = watch.silentPeers(awaited, nowMs, arbiter -> probe(arbiter, sink));
+        awaited.removeAll(fleet.unreachable());
+        List<InstanceId> silent = silenceDetector.silentPeers(awaited, nowMs, arbiter -> probe(arbiter, sink));
         if (silent.isEmpty()) {
             return;
         }
-        silent.forEach(arbiter -> plan.reachable(arbiter, false));
+        silent.forEach(arbiter -> fleet.reachable(arbiter, false));
         fleetChanged(nowMs, sink);
     }
 
@@ -161,25 +163,25 @@
         if (target == null) {
             return;
         }
-        CellId cell = plan.cells().cellOf(target);
+        CellId cell = fleet.cells().cellOf(target);
         if (cell == null || cell.equals(request.cell())) {
             return;
         }
         request.movedTo(cell);
-        offers.link(cell, nowMs).markHoldingsChanged();
+        demand.link(cell, nowMs).markHoldingsChanged();
     }
 
     private void followArbiter(CellLink link, long nowMs, ActionSink sink) {
-        InstanceId arbiter = plan.arbiter(link.cell());
+        InstanceId arbiter = fleet.arbiter(link.cell());
         InstanceId former = link.arbiter();
         if (Objects.equals(arbiter, former)) {
             return;
         }
-        if (former != null && link.registered()) {
+        if (former != null && link.isRegistered()) {
             sink.accept(new Action.SendPeer(former, new PeerMessage.Unregister(link.cell())));
         }
-        boolean wasRegistered = link.registered();
-        link.follow(arbiter, nowMs);
+        boolean wasRegistered = link.isRegistered();
+        link.changeArbiter(arbiter, nowMs);
         sink.accept(new Action.Decided(Decision.of(
                 "arbiter_changed",
                 "cell",
@@ -189,24 +191,24 @@
                 "former",
                 former == null ? "none" : former)));
         if (arbiter != null && (wasRegistered || inUse(link))) {
-            link.barrier(arbiter.equals(self) ? 0 : probe(arbiter, sink));
-            registerAnew(link, nowMs, sink);
+            link.setBarrier(arbiter.equals(self) ? 0 : probe(arbiter, sink));
+            reregister(link, nowMs, sink);
         }
     }
 
-    private void registerAnew(CellLink link, long nowMs, ActionSink sink) {
-        offers.register(link, pools.apply(link.cell().pool()), inFlight(link.cell()), nowMs, sink);
+    private void reregister(CellLink link, long nowMs, ActionSink sink) {
+        demand.register(link, pools.apply(link.cell().pool()), inFlight(link.cell()), nowMs, sink);
     }
 
     private void maintain(CellLink link, long nowMs, ActionSink sink) {
         if (link.holdingsChanged() && link.arbiter() != null && !arbiterSilent(link, nowMs)) {
-            registerAnew(link, nowMs, sink);
+            reregister(link, nowMs, sink);
             return;
         }
         boolean idle = nowMs - link.lastUsedMs() > options.idleRegistrationMs();
-        if (link.registered() && idle && !inUse(link)) {
-            offers.send(link, new PeerMessage.Unregister(link.cell()), sink);
-            link.unregistered();
+        if (link.isRegistered() && idle && !inUse(link)) {
+            demand.send(link, new PeerMessage.Unregister(link.cell()), sink);
+            link.markUnregistered();
         }
     }
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/TargetBackoffs.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/TargetBackoffs.java
@@ -7,39 +7,41 @@
 import org.marjoramswitch.kernel.model.TargetId;
 
 /**
- * The targets that want nothing from this instance for a while, as they said when they turned a request of it away. What
- * is sent there all the same is turned away too: its caller waits longer, and a second send is spent for nothing.
+ * Targets that rejected a request with a Retry-After; not selected until the delay has elapsed. Further requests would
+ * be rejected too: callers would wait longer, and a retry would be spent without effect.
  */
 final class TargetBackoffs {
     private final TreeMap<TargetId, Long> untilMs = new TreeMap<>();
 
-    /** A target asks for rest; false where it is known to rest. A shorter wish does not end a longer one. */
-    boolean add(TargetId target, long restUntilMs, long nowMs) {
-        boolean known = isResting(target, nowMs);
-        untilMs.merge(target, restUntilMs, Math::max);
-        return !known;
+    /**
+     * Starts or extends a backoff; false if the target was already in one. A shorter backoff does not end a longer one.
+     */
+    boolean add(TargetId target, long backoffUntilMs, long nowMs) {
+        boolean wasBackedOff = isBackedOff(target, nowMs);
+        untilMs.merge(target, backoffUntilMs, Math::max);
+        return !wasBackedOff;
     }
 
-    boolean isResting(TargetId target, long nowMs) {
+    boolean isBackedOff(TargetId target, long nowMs) {
         return untilMs.getOrDefault(target, nowMs) > nowMs;
     }
 
-    Set<TargetId> resting(long nowMs) {
-        Set<TargetId> resting = new TreeSet<>(untilMs.keySet());
-        resting.removeIf(target -> !isResting(target, nowMs));
-        return resting;
+    Set<TargetId> backedOffTargets(long nowMs) {
+        Set<TargetId> backedOff = new TreeSet<>(untilMs.keySet());
+        backedOff.removeIf(target -> !isBackedOff(target, nowMs));
+        return backedOff;
     }
 
-    /** Until the first of these targets may be asked again; 0 where one may be now, or there is none. */
-    long leftMs(Collection<TargetId> targets, long nowMs) {
+    /** Time until the first of these targets may be used again; 0 if one may be used now or the collection is empty. */
+    long remainingMs(Collection<TargetId> targets, long nowMs) {
         return targets.stream()
                 .mapToLong(target -> Math.max(0, untilMs.getOrDefault(target, nowMs) - nowMs))
                 .min()
                 .orElse(0);
     }
 
-    /** Forgets the rests that are over; true where there were any. */
+    /** Removes elapsed backoffs; true if there were any. */
     boolean expire(long nowMs) {
-        return untilMs.values().removeIf(restUntilMs -> restUntilMs <= nowMs);
+        return untilMs.values().removeIf(backoffUntilMs -> backoffUntilMs <= nowMs);
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/package-info.java
@@ -1,4 +1,4 @@
-/** The requests of an instance's own callers, from arrival to end. */
+/** Handles the requests of an instance's own callers, from arrival to end. */
 @NullMarked
 package org.marjoramswitch.kernel.entry;
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/liveness/SilentPeerDetector.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/liveness/SilentPeerDetector.java
@@ -9,13 +9,13 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * Notices peers that do not answer while something is awaited from them.
+ * Detects peers that send no messages while a response is expected from them.
  *
- * <p>A paused process keeps its sockets open, and a connection can go silent for good while new ones work. Until the
- * membership agrees that the instance is dead, an entry's requests would wait for its grants beside free slots, and an
- * arbiter would grant slots to requests that never start. So a peer from which nothing came for {@value
- * #PROBE_AFTER_MS} ms is probed, and after {@value #SILENT_AFTER_MS} ms without any message it counts as silent. Peers
- * of which nothing is awaited are not probed: heartbeats on every link were a third of the control bytes at 350
+ * <p>A paused process keeps its sockets open, and an established connection can go silent for good while new ones work.
+ * Until the membership declares the instance dead, an entry's requests would wait for its grants although slots are
+ * free, and an arbiter would grant slots to requests that never start. A peer from which no message arrived for {@value
+ * #PROBE_AFTER_MS} ms is therefore probed, and after {@value #SILENT_AFTER_MS} ms without any message it counts as
+ * silent. Other peers are not probed: heartbeats on every link were a third of the control traffic in bytes at 350
  * instances.
  */
 public final class SilentPeerDetector {
@@ -30,27 +30,27 @@
         return new SilentPeerDetector();
     }
 
-    /** Something came from the peer. */
+    /** Records that a message arrived from the peer. */
     public void messageReceived(InstanceId peer, long nowMs) {
         Contact contact = contacts.get(peer);
         if (contact != null) {
-            contact.heardMs = nowMs;
+            contact.lastMessageMs = nowMs;
         }
     }
 
     /**
-     * Watches just these peers and returns the ones that have been silent too long. One that is watched anew has its
-     * full time from now on.
+     * Probes awaited peers where needed and returns those that have been silent for too long. Peers that are not in
+     * {@code awaited} are no longer observed; the time of a newly awaited one starts now.
      */
     public List<InstanceId> silentPeers(Collection<InstanceId> awaited, long nowMs, Consumer<InstanceId> probe) {
         contacts.keySet().retainAll(awaited);
         List<InstanceId> silent = new ArrayList<>();
         for (InstanceId peer : awaited) {
             Contact contact = contacts.computeIfAbsent(peer, missing -> new Contact(nowMs));
-            if (nowMs - contact.heardMs >= SILENT_AFTER_MS) {
+            if (nowMs - contact.lastMessageMs >= SILENT_AFTER_MS) {
                 silent.add(peer);
-            } else if (nowMs - Math.max(contact.heardMs, contact.probedMs) >= PROBE_AFTER_MS) {
-                contact.probedMs = nowMs;
+            } else if (nowMs - Math.max(contact.lastMessageMs, contact.lastProbeMs) >= PROBE_AFTER_MS) {
+                contact.lastProbeMs = nowMs;
                 probe.accept(peer);
             }
         }
@@ -58,12 +58,12 @@
     }
 
     private static final class Contact {
-        private long heardMs;
-        private long probedMs;
+        private long lastMessageMs;
+        private long lastProbeMs;
 
         private Contact(long nowMs) {
-            heardMs = nowMs;
-            probedMs = nowMs;
+            lastMessageMs = nowMs;
+            lastProbeMs = nowMs;
         }
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/liveness/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/liveness/package-info.java
@@ -1,4 +1,4 @@
-/** Which peers still answer. */
+/** Detection of silent peers. */
 @NullMarked
 package org.marjoramswitch.kernel.liveness;
 
--- a/kernel/src/test/java/org/marjoramswitch/kernel/PoisonRequestTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/PoisonRequestTest.java
@@ -22,22 +22,23 @@
 import org.marjoramswitch.kernel.model.Usage;
 
 /**
- * Callers see answers break off by the dozen, again and again: a target ends, with all that it runs, each time that one
- * certain request begins to run there. The request comes again under new names, at any instance; every instance takes it
- * for a new one and sends it on, twice where it may be repeated. Proof: the ends of targets had one digest in common.
+ * Guards against a poison request: a target crashes, with everything that it runs, each time that one certain request
+ * starts there. The request arrives repeatedly under new ids at any instance. Without a record shared between
+ * instances, each of them treats it as new and sends it to targets, twice if it is repeatable. The crashes have one
+ * digest in common.
  */
 class PoisonRequestTest extends PlacementFleet {
     private static final String[] TARGETS = {"t1", "t2", "t3", "t4", "t5", "t6", "t7", "t8", "t9"};
-    private static final long HARMFUL = 666;
-    /** What the users grant: so many targets end before it has to be known, then so many more sends. */
-    private static final int TARGETS_ENDED_UNTIL_KNOWN = 3;
+    private static final long POISON_DIGEST = 666;
+    /** Requirement: after this many crashes the request is blocked, and then sent at most a few more times. */
+    private static final int CRASHES_UNTIL_BLOCKED = 3;
 
-    private static final int MOST_SENDS_AFTERWARDS = 3;
-    private static final long TIME_TO_TELL_MS = 3_000;
+    private static final int MAX_DISPATCHES_AFTERWARDS = 3;
+    private static final long PROPAGATION_MS = 3_000;
 
-    private final Set<TargetId> endedTargets = new HashSet<>();
-    private final Map<Long, InstanceId> harmful = new TreeMap<>();
-    private int judged;
+    private final Set<TargetId> crashedTargets = new HashSet<>();
+    private final Map<Long, InstanceId> poisonRequests = new TreeMap<>();
+    private int examined;
 
     @BeforeEach
     void nineTargets() {
@@ -45,94 +46,94 @@
     }
 
     @Test
-    void itIsSentNoFurtherFromAnyInstance() {
-        comeUntilKnown();
-        pass(TIME_TO_TELL_MS);
-        assertSentLittleFromNowOn();
+    void poisonRequestIsBlockedAtAllInstances() {
+        sendPoisonUntilBlocked();
+        pass(PROPAGATION_MS);
+        assertAlmostNeverDispatchedAgain();
     }
 
-    /** The last one is sent to no target that runs others' requests: its caller hears at once that it has not run. */
+    /** Once the request is blocked, its callers immediately get a failure that says that it has not run. */
     @Test
-    void itsCallerIsToldAtOnceThatItHasNotRun() {
-        comeUntilKnown();
-        pass(TIME_TO_TELL_MS);
+    void callersOfABlockedRequestGetNotRunImmediately() {
+        sendPoisonUntilBlocked();
+        pass(PROPAGATION_MS);
         long last = 0;
-        for (int i = 0; i <= MOST_SENDS_AFTERWARDS; i++) {
-            last = comeAt(INSTANCES.get(i % INSTANCES.size()));
+        for (int i = 0; i <= MAX_DISPATCHES_AFTERWARDS; i++) {
+            last = sendPoisonAt(INSTANCES.get(i % INSTANCES.size()));
         }
         assertEquals(RunState.NOT_RUN, failure(last).failure().run());
         assertTrue(failure(last).failure().retryAfterMs() > 0);
     }
 
-    /** Each instance is replaced in turn; what the fleet has learned must outlive any of them. */
+    /** Each instance is restarted in sequence; a restarted instance must get the records from its peers. */
     @Test
-    void itIsKnownAfterEveryInstanceHasStartedAnew() {
-        comeUntilKnown();
+    void blockSurvivesTheRestartOfEveryInstance() {
+        sendPoisonUntilBlocked();
         for (InstanceId id : INSTANCES) {
-            pass(TIME_TO_TELL_MS);
+            pass(PROPAGATION_MS);
             restart(id, TARGETS);
         }
-        pass(TIME_TO_TELL_MS);
-        assertSentLittleFromNowOn();
+        pass(PROPAGATION_MS);
+        assertAlmostNeverDispatchedAgain();
     }
 
-    /** Requests that only ran beside it are served, though the first targets of many of them ended under them. */
+    /** Other requests that ran on the crashed targets are retried and served. */
     @Test
-    void whatRanBesideItIsServed() {
+    void otherRequestsOnCrashedTargetsAreServed() {
         for (int i = 0; i < 6; i++) {
             entry = INSTANCES.get(i % INSTANCES.size());
             long bystander = arrive(true, 4, true, 1_000 + i);
-            comeAt(INSTANCES.get((i + 1) % INSTANCES.size()));
+            sendPoisonAt(INSTANCES.get((i + 1) % INSTANCES.size()));
             entry = INSTANCES.get(i % INSTANCES.size());
             end(bystander, TargetOutcome.BROKEN_IN_ANSWER);
-            assertTrue(isRunning(bystander), "the request is not sent again");
+            assertTrue(isRunning(bystander), "the request was not retried");
             end(bystander, TargetOutcome.COMPLETED);
             assertTrue(ends.get(bystander) instanceof Action.Complete);
             pass(RESENDS.windowMs());
         }
     }
 
-    /** Many callers ask the same thing; a target that ends under them all says nothing of it, since it is served too. */
+    /** Many callers send an identical request. Crashes under it do not block it, since it is also served. */
     @Test
-    void whatIsServedAsOftenIsNoneOfThem() {
+    void requestThatIsAlsoServedIsNotBlocked() {
         for (int i = 0; i < 12; i++) {
             entry = INSTANCES.get(i % INSTANCES.size());
             long broken = arrive(true, 1, false, 7);
             end(broken, TargetOutcome.BROKEN_BEFORE_ANSWER);
             long served = arrive(true, 1, false, 7);
             end(served, TargetOutcome.COMPLETED);
-            assertTrue(ends.get(served) instanceof Action.Complete, "refused though it is served");
+            assertTrue(ends.get(served) instanceof Action.Complete, "rejected although the request is served");
             pass(100);
         }
     }
 
     /**
-     * The request and many others come at random instances and times, while single instances start anew or stand still
-     * for a second. After a stand-still or a start an instance has as long to catch up as any has to be told.
+     * The poison request and others arrive at random instances and times while single instances restart or are paused
+     * for a second. After a restart or pause an instance has the regular propagation time to catch up.
      */
     @ParameterizedTest
     @MethodSource("seeds")
-    void itIsSentNoFurtherWhateverHappensMeanwhile(long seed) {
+    void blockSurvivesRestartsAndPauses(long seed) {
         Random random = new Random(seed);
-        comeUntilKnown();
-        pass(TIME_TO_TELL_MS);
-        int sentBefore = harmfulSends();
+        sendPoisonUntilBlocked();
+        pass(PROPAGATION_MS);
+        int dispatchedBefore = poisonDispatches();
         for (int i = 0; i < 30; i++) {
             InstanceId disturbed = INSTANCES.get(random.nextInt(INSTANCES.size()));
             disturb(disturbed, random);
             for (int j = 0; j < 6; j++) {
                 InstanceId other = INSTANCES.get(random.nextInt(INSTANCES.size()));
                 if (!other.equals(disturbed)) {
-                    comeAt(other);
+                    sendPoisonAt(other);
                 }
                 pass(random.nextInt(200));
-                endTargetsThatRunIt();
+                crashTargetsThatRunIt();
             }
             frozen.clear();
-            pass(TIME_TO_TELL_MS - 1_000 + random.nextInt(1_000));
+            pass(PROPAGATION_MS - 1_000 + random.nextInt(1_000));
         }
-        int after = harmfulSends() - sentBefore;
-        assertTrue(after <= MOST_SENDS_AFTERWARDS, "seed " + seed + ": sent to targets " + after + " times more");
+        int after = poisonDispatches() - dispatchedBefore;
+        assertTrue(after <= MAX_DISPATCHES_AFTERWARDS, "seed " + seed + ": dispatched " + after + " more times");
     }
 
     static LongStream seeds() {
@@ -151,46 +152,46 @@
         }
     }
 
-    private int harmfulSends() {
+    private int poisonDispatches() {
         return (int) dispatched.stream()
-                .filter(sent -> harmful.containsKey(sent.requestId()))
+                .filter(sent -> poisonRequests.containsKey(sent.requestId()))
                 .count();
     }
 
-    private void comeUntilKnown() {
-        for (int i = 0; endedTargets.size() < TARGETS_ENDED_UNTIL_KNOWN; i++) {
-            comeAt(INSTANCES.get(i % INSTANCES.size()));
+    private void sendPoisonUntilBlocked() {
+        for (int i = 0; crashedTargets.size() < CRASHES_UNTIL_BLOCKED; i++) {
+            sendPoisonAt(INSTANCES.get(i % INSTANCES.size()));
             pass(300);
         }
     }
 
-    /** The request comes once; each target that it is sent to ends, and is replaced by one of another name. */
-    private long comeAt(InstanceId instance) {
+    /** Sends the poison request once; each target that it is dispatched to crashes. */
+    private long sendPoisonAt(InstanceId instance) {
         entry = instance;
-        long request = arrive(true, 2, true, HARMFUL);
-        harmful.put(request, instance);
-        endTargetsThatRunIt();
+        long request = arrive(true, 2, true, POISON_DIGEST);
+        poisonRequests.put(request, instance);
+        crashTargetsThatRunIt();
         return request;
     }
 
-    private void endTargetsThatRunIt() {
-        while (judged < dispatched.size()) {
-            Action.Dispatch sent = dispatched.get(judged++);
-            InstanceId sender = harmful.get(sent.requestId());
+    private void crashTargetsThatRunIt() {
+        while (examined < dispatched.size()) {
+            Action.Dispatch sent = dispatched.get(examined++);
+            InstanceId sender = poisonRequests.get(sent.requestId());
             if (sender != null) {
-                endedTargets.add(sent.target());
+                crashedTargets.add(sent.target());
                 tell(sender, new Event.TargetEnded(sent.requestId(), TargetOutcome.BROKEN_BEFORE_ANSWER, Usage.NONE));
             }
         }
     }
 
-    private void assertSentLittleFromNowOn() {
-        int sentBefore = dispatched.size();
+    private void assertAlmostNeverDispatchedAgain() {
+        int dispatchedBefore = dispatched.size();
         for (int i = 0; i < 12; i++) {
-            comeAt(INSTANCES.get(i % INSTANCES.size()));
+            sendPoisonAt(INSTANCES.get(i % INSTANCES.size()));
             pass(500);
         }
-        int after = dispatched.size() - sentBefore;
-        assertTrue(after <= MOST_SENDS_AFTERWARDS, "sent to targets " + after + " times more");
+        int after = dispatched.size() - dispatchedBefore;
+        assertTrue(after <= MAX_DISPATCHES_AFTERWARDS, "dispatched " + after + " more times");
     }
 }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/entry/EntryTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/entry/EntryTest.java
@@ -43,8 +43,8 @@
     private static final long DEADLINE_MS = 30_000;
     private static final int MAX_QUEUED = 3;
 
-    private final FleetState plan = FleetState.of(view(ARBITER));
-    private final Entry entry = Entry.create(SELF, KernelOptions.defaults(), plan);
+    private final FleetState fleet = FleetState.of(view(ARBITER));
+    private final Entry entry = Entry.create(SELF, KernelOptions.defaults(), fleet);
     private final List<Action> actions = new ArrayList<>();
     private long nowMs = 1_000;
     private long sequence = 1;
@@ -52,7 +52,7 @@
     @BeforeEach
     void acceptSettings() {
         CustomerSettings customer = new CustomerSettings(CUSTOMER, "team", 1, Set.of(), MAX_QUEUED);
-        plan.settings(FleetSettings.of(
+        fleet.settings(FleetSettings.of(
                 1,
                 Map.of(CUSTOMER, customer),
                 Map.of(POOL, PoolSettings.modelEngines(POOL)),
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aFloodIsRefusedBeyondTheCustomersQueueWithATimeToComeBack() {
+    void requestsBeyondTheCustomerQueueLimitAreRejectedWithRetryAfter() {
         for (int id = 1; id <= MAX_QUEUED + 1; id++) {
             arrive(id, true);
         }
@@ -72,9 +72,10 @@
     }
 
     @Test
-    void aBrokenAttemptThenARefusedOneIsNotCalledNotRun() {
-        // The first target takes the request and breaks off, the retry is refused by the second. The caller must not
-        // be told "not run": the first target may have executed the request.
+    void brokenAttemptFollowedByRejectedOnesEndsAsUnknown() {
+        // The first target accepts the request and breaks off; the retry is rejected by the second. The failure must
+        // not
+        // be "not run", since the first target may have executed the request.
         arrive(1, true);
         grant(T1);
         end(1, TargetOutcome.BROKEN_BEFORE_ANSWER);
@@ -87,7 +88,7 @@
     }
 
     @Test
-    void aRequestThatMayNotBeRepeatedIsNotSentAgainOnceSent() {
+    void nonRepeatableRequestIsNotRetriedAfterABrokenAttempt() {
         arrive(1, false);
         grant(T1);
         end(1, TargetOutcome.BROKEN_BEFORE_ANSWER);
@@ -97,7 +98,7 @@
     }
 
     @Test
-    void aRequestThatMayNotBeRepeatedIsSentAgainWhereTheTargetRefusedIt() {
+    void nonRepeatableRequestIsRetriedAfterATargetRejectedIt() {
         arrive(1, false);
         grant(T1);
         end(1, TargetOutcome.REFUSED);
@@ -109,7 +110,7 @@
     }
 
     @Test
-    void aWaitingRequestsEndComesAtItsDeadlineAndIsTrue() {
+    void waitingRequestFailsAtItsDeadlineAsNotRun() {
         arrive(1, false);
         nowMs = DEADLINE_MS;
         tick();
@@ -119,9 +120,10 @@
     }
 
     @Test
-    void aGrantFromAnInstanceThatIsNotTheArbiterIsDeclined() {
-        // A former arbiter, paused past its detection, resumes and grants from its old books. The slot may be taken
-        // by now; taking the grant would put load on the target that the present arbiter does not know of.
+    void grantFromAnInstanceThatIsNotTheArbiterIsDeclined() {
+        // A former arbiter that was paused until it was replaced resumes and grants from outdated state. The slot may
+        // be
+        // taken by now; accepting the grant would put load on the target that the current arbiter does not account for.
         arrive(1, true);
         entry.granted(InstanceId.of("former"), new PeerMessage.Grant(CELL, 1, CUSTOMER, T1, 0), nowMs, actions::add);
 
@@ -130,9 +132,9 @@
     }
 
     @Test
-    void aGrantForATargetKnownAsLeavingIsDeclined() {
+    void grantForADrainingTargetIsDeclined() {
         arrive(1, true);
-        plan.leavingTargets(Set.of(T1));
+        fleet.leavingTargets(Set.of(T1));
         grant(T1);
 
         assertEquals(0, count(Action.Dispatch.class));
@@ -140,11 +142,12 @@
     }
 
     @Test
-    void aRequestWhoseGrantWasDeclinedIsOfferedAgain() {
-        // The entry knows that the granted target is leaving, the arbiter does not yet. The arbiter counted the offer
-        // down for that grant; unless the entry offers anew, the caller waits until the deadline beside free slots.
+    void requestIsOfferedAgainAfterItsGrantWasDeclined() {
+        // The entry knows that the granted target is draining, the arbiter does not yet. The arbiter decremented the
+        // offer
+        // for that grant; without a new offer, the caller waits until the deadline although slots are free.
         arrive(1, true);
-        plan.leavingTargets(Set.of(T1));
+        fleet.leavingTargets(Set.of(T1));
         actions.clear();
         grant(T1);
 
@@ -159,13 +162,14 @@
     }
 
     @Test
-    void aSlotIsReusedWhileTheArbiterIsUnreachable() {
-        // The arbiter dies. The entry's request ends; nobody can grant the slot. The entry's next request takes it at
-        // once, and the next arbiter hears of it by registration.
+    void slotIsReusedWhileTheArbiterIsUnreachable() {
+        // The arbiter crashes and the entry's request ends, so nobody can grant the slot. The entry's next request
+        // takes
+        // it immediately, and the next arbiter is notified by the registration.
         arrive(1, true);
         arrive(2, true);
         grant(T1);
-        plan.reachable(ARBITER, false);
+        fleet.reachable(ARBITER, false);
         entry.registrations().fleetChanged(nowMs, actions::add);
         end(1, TargetOutcome.COMPLETED);
 
@@ -184,7 +188,7 @@
     }
 
     @Test
-    void theMostUrgentRequestOfTheCustomerTakesTheGrant() {
+    void mostUrgentRequestOfTheCustomerTakesTheGrant() {
         arrive(1, true);
         entry.arrived(spec(2, true, 0, 0), nowMs, actions::add);
         grant(T1);
@@ -193,7 +197,7 @@
     }
 
     @Test
-    void aGrantIsBoundToARequestWhosePrefixTheTargetHolds() {
+    void grantIsBoundToARequestWhosePrefixTheTargetHasCached() {
         arrive(1, true);
         entry.arrived(spec(2, true, RequestSpec.DEFAULT_URGENCY, 99), nowMs, actions::add);
         entry.prefixCached(T1, 99, true);
@@ -203,7 +207,7 @@
     }
 
     @Test
-    void aRetryPrefersATargetThatHasNotFailedIt() {
+    void retryPrefersATargetThatHasNotFailedTheRequest() {
         arrive(1, true);
         arrive(2, true);
         grant(T1);
@@ -214,9 +218,10 @@
     }
 
     @Test
-    void anEntryThatItsArbiterForgotRegistersAnew() {
-        // The arbiter took this entry for dead and dropped its offers while the link stayed up. Without the notice
-        // its requests would wait until their deadline beside free slots.
+    void entryRegistersAgainAfterItsArbiterLostTheRegistration() {
+        // The arbiter considered this entry dead and dropped its offers while the link stayed up. Without the
+        // notification
+        // its requests would wait until their deadline although slots are free.
         arrive(1, true);
         actions.clear();
         entry.registrations().registrationLost(ARBITER, CELL, nowMs, actions::add);
@@ -226,7 +231,7 @@
     }
 
     @Test
-    void anEntryThatLeavesFinishesWhatItHasAndRefusesTheRest() {
+    void drainingEntryFinishesAcceptedRequestsAndRejectsNewOnes() {
         arrive(1, true);
         entry.drain();
         arrive(2, true);
