--- a/kernel/src/test/java/org/marjoramswitch/kernel/PoisonRequestTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/PoisonRequestTest.java
@@ -52,7 +52,10 @@
         assertAlmostNeverDispatchedAgain();
     }
 
-    /** Once the request is blocked, its callers immediately get a failure that says that it has not run. */
+    /**
+     * A blocked request is dispatched to no target, where it would crash other callers' requests; its callers immediately
+     * get a "not run" failure.
+     */
     @Test
     void callersOfABlockedRequestGetNotRunImmediately() {
         sendPoisonUntilBlocked();
