--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
@@ -117,8 +117,8 @@
         } else if (result instanceof Claims.Result.HeldBy held) {
             followHolder(caller, call, claimed, requestId, held.requestKey());
         } else {
-            // The claim may still have taken effect. Marked dead, the request key never runs, and a retry that finds it
-            // learns so.
+            // The claim may still have taken effect. The request key is marked dead so that it never runs and a retry
+            // that finds the claim learns it.
             Failure failure = Failure.notRun(
                     ErrorType.CLAIM_UNAVAILABLE, CLAIM_RETRY_AFTER_MS, ((Claims.Result.NotClaimed) result).reason());
             refuse(caller, call, keys.refuse(call.customer(), claimed.toString(), failure));
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/MetricsText.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/MetricsText.java
@@ -19,8 +19,7 @@
 
     static byte[] prometheus(MetricRegistry registry) {
         StringBuilder out = new StringBuilder();
-        // Latencies and gauges precede the many counters, because collectors with a size limit drop the end of the
-        // page.
+        // Latencies and gauges come before the many counters: collectors that cap the page size drop its end.
         registry.getTimers()
                 .forEach((name, timer) ->
                         appendSummary(out, name + "_seconds", timer.getSnapshot(), timer.getCount(), secondsPerNano()));
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/ChatBodyTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/ChatBodyTest.java
@@ -47,9 +47,8 @@
                 assertThrows(MalformedCallException.class, () -> parse(text)).getMessage());
     }
 
-    // The engine identifies a prefix in its cache events by a hash. If the router's hash differed, no event would match
-    // a
-    // request, and only a lower cache hit rate would show it.
+    // The engine identifies a prefix in its cache events by a hash. If the router's hash differed, no event would
+    // match a request, and only a lower cache hit rate would show it.
     @Test
     void routerAndEngineComputeTheSamePrefixHash() throws Exception {
         String text = "{\"model\":\"m\",\"max_tokens\":1,\"messages\":[{\"role\":\"system\",\"content\":\""
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/RawInputTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/RawInputTest.java
@@ -167,8 +167,7 @@
     }
 
     // The caller reads the start of its response and then stops. Its unread bytes are within the limit, so only the
-    // stall
-    // timeout detects it. Its connection is closed and the request is reported as abandoned.
+    // stall timeout detects it. Its connection is closed and the request is reported as abandoned.
     @Test
     void callerThatStopsReadingIsDisconnectedAfterTheStallTimeout() throws Exception {
         try (Socket socket = fixture.connect()) {
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/RequestKeysTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/RequestKeysTest.java
@@ -75,9 +75,8 @@
         return body;
     }
 
-    // The caller's connection breaks while its request runs. A second attempt with the key reads the response of the
-    // same
-    // execution, and a third one after its end receives the cached response; the target receives one call.
+    // The caller's connection breaks while its request runs. A second attempt with the key reads the response of
+    // the same execution, and a third one after its end receives the cached response; the target receives one call.
     @Test
     void retryAttachesToRunningRequestAndEndedResponseIsReplayed() throws Exception {
         String key = a.key("k1");
@@ -115,9 +114,8 @@
         assertEquals("own", other.get().body());
     }
 
-    // The first attempt has not reached its home a, and the retry goes to b. b queries a and responds "not run". The
-    // first
-    // attempt arrives at a later; it must be rejected and never run.
+    // The first attempt has not reached its home a, and the retry goes to b. b queries a and responds "not run".
+    // The first attempt arrives at a later; it must be rejected and never run.
     @Test
     void keyReportedNotRunElsewhereNeverRuns() throws Exception {
         String key = a.key("k1");
@@ -154,8 +152,7 @@
     }
 
     // The home was restarted after it issued the key. No instance knows what its earlier incarnation did, so the
-    // outcome
-    // stays unknown.
+    // outcome stays unknown.
     @Test
     void restartedHomeMakesTheOutcomePermanentlyUnknown() throws Exception {
         String key = a.key("k1").replace(":7:", ":6:");
@@ -249,8 +246,7 @@
     }
 
     // The response to the claim is lost, so the request is rejected as "not run" although the claim took effect. A
-    // retry
-    // finds the claiming request dead and is rejected until the claim is released.
+    // retry finds the claiming request dead and is rejected until the claim is released.
     @Test
     void requestWhoseClaimResponseWasLostNeverRuns() throws Exception {
         claimsDown = true;
@@ -267,9 +263,8 @@
         assertEquals("stopped", later.get().body());
     }
 
-    // A request with an idempotency key is rejected by a full queue. The caller's next attempt with the same key must
-    // be
-    // able to run.
+    // A request with an idempotency key is rejected by a full queue. The caller's next attempt with the same key
+    // must be able to run.
     @Test
     void idempotencyKeyIsReleasedIfTheRequestDidNotRun() throws Exception {
         HttpRequest request = stop(a, Fixture.KEY_ONE, "Idempotency-Key", "mine", "stop 7");
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/ResponseBufferTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/ResponseBufferTest.java
@@ -90,8 +90,7 @@
     }
 
     // Other responses exhaust the memory budget. A reader that keeps up continues; one that is behind is dropped
-    // although
-    // it is within its own limit, so that memory is freed.
+    // although it is within its own limit, so that memory is freed.
     @Test
     void slowReadersAreDroppedWhenBudgetIsExhausted() {
         ResponseBuffer buffer = buffer(1 << 20, 0, false);
