--- a/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
@@ -11,7 +11,7 @@
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
-import org.marjoramswitch.daemon.core.DecisionDuty;
+import org.marjoramswitch.daemon.core.DecisionLoop;
 import org.marjoramswitch.daemon.core.EventObserver;
 import org.marjoramswitch.daemon.core.EventRecorder;
 import org.marjoramswitch.daemon.core.KernelDriver;
@@ -64,7 +64,7 @@
     private final Member self;
     private final XnioWorker worker;
     private final KernelDriver kernel;
-    private final DecisionDuty decisions;
+    private final DecisionLoop decisions;
     private final FleetDirectory directory;
     private final Drain drain;
     private volatile @Nullable PeerLinks links;
@@ -87,7 +87,7 @@
         ProcessMetrics.register(metrics, settings.processorMillicores());
         this.worker = startWorker();
         this.kernel = KernelDriver.of(InstanceKernel.create(self, options));
-        this.decisions = parts.add(DecisionDuty.builder(kernel, clock, settings.maxWaiting(), metrics)
+        this.decisions = parts.add(DecisionLoop.builder(kernel, clock, settings.maxWaiting(), metrics)
                 .peers(peers)
                 .targets(targets.start(worker, metrics))
                 .observer(recorder(RecordingHeader.of(self, options)))
@@ -185,7 +185,7 @@
         return kernel;
     }
 
-    DecisionDuty decisions() {
+    DecisionLoop decisions() {
         return decisions;
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/PeerRouter.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/PeerRouter.java
@@ -2,7 +2,7 @@
 
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
-import org.marjoramswitch.daemon.core.DecisionDuty;
+import org.marjoramswitch.daemon.core.DecisionLoop;
 import org.marjoramswitch.daemon.fleet.FleetDirectory;
 import org.marjoramswitch.daemon.peer.PeerListener;
 import org.marjoramswitch.kernel.message.PeerMessage;
@@ -11,14 +11,14 @@
 /** Hands each message of a peer to the duty that it is for. */
 final class PeerRouter implements PeerListener {
     private final FleetDirectory directory;
-    private final DecisionDuty decisions;
+    private final DecisionLoop decisions;
     private final BiPredicate<InstanceId, PeerMessage> settings;
     private final Keys keys;
     private final Consumer<InstanceId> onLost;
 
     private PeerRouter(
             FleetDirectory directory,
-            DecisionDuty decisions,
+            DecisionLoop decisions,
             BiPredicate<InstanceId, PeerMessage> settings,
             Keys keys,
             Consumer<InstanceId> onLost) {
@@ -43,7 +43,7 @@
      */
     static PeerRouter of(
             FleetDirectory directory,
-            DecisionDuty decisions,
+            DecisionLoop decisions,
             BiPredicate<InstanceId, PeerMessage> settings,
             Keys keys,
             Consumer<InstanceId> onLost) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/DecisionDuty.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/DecisionLoop.java
@@ -45,7 +45,7 @@
  * floods the instance fills 16,384 of them before its link is cut. The 4,000 ends, 4,000 words of targets and 4,000 losses
  * of callers that may come in that moment still fit, and so do thousands of changes of links, targets and settings.
  */
-public final class DecisionDuty implements RequestSubmitter, PeerListener, EventSink, AutoCloseable {
+public final class DecisionLoop implements RequestSubmitter, PeerListener, EventSink, AutoCloseable {
     /** When a caller that found the instance full should come back. */
     private static final long FULL_RETRY_AFTER_MS = 1_000;
 
@@ -53,7 +53,7 @@
     private static final int MAX_BATCH = 256;
     private static final long JOIN_MS = 5_000;
     private static final Event TICK = new Event.Tick();
-    private static final KeyValueLog LOG = KeyValueLog.of(DecisionDuty.class);
+    private static final KeyValueLog LOG = KeyValueLog.of(DecisionLoop.class);
 
     private final Decider decider;
     private final LongSupplier clockMs;
@@ -71,7 +71,7 @@
     private long nowMs = Long.MIN_VALUE;
     private long tickedAtNs = System.nanoTime();
 
-    private DecisionDuty(Builder builder) {
+    private DecisionLoop(Builder builder) {
         this.decider = builder.decider;
         this.clockMs = builder.clockMs;
         this.observer = builder.observer;
@@ -194,7 +194,7 @@
         return false;
     }
 
-    private DecisionDuty start() {
+    private DecisionLoop start() {
         thread.start();
         return this;
     }
@@ -319,8 +319,8 @@
             return this;
         }
 
-        public DecisionDuty start() {
-            return new DecisionDuty(this).start();
+        public DecisionLoop start() {
+            return new DecisionLoop(this).start();
         }
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/AttemptLog.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/AttemptLog.java
@@ -2,7 +2,7 @@
 
 import org.marjoramswitch.daemon.exchange.TargetStatusNotice;
 import org.marjoramswitch.daemon.log.KeyValueLog;
-import org.marjoramswitch.daemon.target.EnginePatience.Verdict;
+import org.marjoramswitch.daemon.target.EngineStallPolicy.Verdict;
 import org.marjoramswitch.kernel.error.ErrorType;
 import org.marjoramswitch.kernel.model.TargetOutcome;
 import org.marjoramswitch.kernel.model.Usage;
@@ -19,7 +19,7 @@
         this.spec = spec;
     }
 
-    void crossed(AnswerReader answer) {
+    void crossed(ResponseReader answer) {
         LOG.warn(
                 "answer_crossed",
                 TARGET,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/EnginePatience.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/EngineStallPolicy.java
@@ -16,7 +16,7 @@
  * 20 s 5,000, and the answer comes at 25 s. On a connection that went silent before the request was sent, the engine
  * says at 10 s that it knows no such request, and the attempt is over.
  */
-final class EnginePatience {
+final class EngineStallPolicy {
     /** Timeouts in a row in which an engine may show no progress on a request that it says it holds. */
     static final int MAX_STALLS = 3;
     /** The same where the engine cannot say and gives its answer whole at the end. */
@@ -27,12 +27,12 @@
     private int stalls;
     private int suspicions;
 
-    private EnginePatience(boolean streaming) {
+    private EngineStallPolicy(boolean streaming) {
         this.streaming = streaming;
     }
 
-    static EnginePatience of(boolean streaming) {
-        return new EnginePatience(streaming);
+    static EngineStallPolicy of(boolean streaming) {
+        return new EngineStallPolicy(streaming);
     }
 
     /** Judges one more silence, after {@code receivedChunks} of a stream came. */
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/EngineState.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/EngineState.java
@@ -47,17 +47,16 @@
     /** Asks over a new connection, since the one that carries the request is the one in doubt. */
     static void ask(TargetConnector connector, AttemptSpec spec, XnioIoThread thread, Consumer<EngineState> listener) {
         String path = PATH + URLEncoder.encode(spec.requestId(), StandardCharsets.UTF_8);
-        TargetQuestion.askFresh(
-                connector, spec.target(), path, TIMEOUT_MS, thread, answer -> listener.accept(in(answer)));
+        TargetQuery.askFresh(connector, spec.target(), path, TIMEOUT_MS, thread, answer -> listener.accept(in(answer)));
     }
 
     /** Tells the engine to give up a request whose connection may never tell it. */
     static void cancel(TargetConnector connector, AttemptSpec spec, XnioIoThread thread) {
         String path = CANCEL_PATH + URLEncoder.encode(spec.requestId(), StandardCharsets.UTF_8);
-        TargetQuestion.tell(connector, spec.target(), path, TIMEOUT_MS, thread);
+        TargetQuery.tell(connector, spec.target(), path, TIMEOUT_MS, thread);
     }
 
-    private static EngineState in(TargetQuestion.Answer answer) {
+    private static EngineState in(TargetQuery.Answer answer) {
         if (!answer.isWhole()) {
             return of(Phase.UNREACHABLE, 0);
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/HttpAttempt.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/HttpAttempt.java
@@ -35,7 +35,7 @@
  *
  * <p><b>Silence.</b> The deadline starts anew with each byte written or read. A model engine may have good reason to be
  * silent: it gives a whole answer only at its end, and works off its own queue first. So it is asked over a new
- * connection what it makes of the request, and {@link EnginePatience} judges.
+ * connection what it makes of the request, and {@link EngineStallPolicy} judges.
  *
  * <p><b>Going on.</b> An engine that still has the request, or its whole answer, is asked for the part that did not come,
  * over a new connection. That executes nothing: the request itself is never sent again from here; whether it may be, its
@@ -49,7 +49,7 @@
  *
  * <p><b>Memory.</b> The listener takes every byte at once, so the target is never slowed down: what a slow caller leaves
  * unread is held by the listener. It is bounded by the largest answer taken; within the attempt there is one read buffer
- * at a time and what {@link AnswerDelivery} holds.
+ * at a time and what {@link ResponseDelivery} holds.
  */
 final class HttpAttempt implements Attempt {
     /** For bytes that are on their way when the engine says that it has sent them. */
@@ -62,15 +62,15 @@
     private final XnioIoThread thread;
     private final long startedAtMs;
     private final ProgressDeadline deadline;
-    private final EnginePatience patience;
+    private final EngineStallPolicy patience;
 
-    private final AnswerDelivery delivery;
+    private final ResponseDelivery delivery;
     private final AttemptLog log;
     private final List<ClientConnection> leftConnections = new ArrayList<>(0);
 
     private TargetCall sending;
     private @Nullable ClientConnection connection;
-    private @Nullable AnswerReader reader;
+    private @Nullable ResponseReader reader;
     private @Nullable EngineState lastState;
     private boolean pooled;
     private boolean sentEarlier;
@@ -89,8 +89,8 @@
         this.thread = thread;
         this.startedAtMs = connector.nowMs();
         this.deadline = ProgressDeadline.of(thread, connector::nowMs, spec.progressTimeoutMs(), this::onSilence);
-        this.patience = EnginePatience.of(spec.call().streaming());
-        this.delivery = new AnswerDelivery(listener);
+        this.patience = EngineStallPolicy.of(spec.call().streaming());
+        this.delivery = new ResponseDelivery(listener);
         this.log = new AttemptLog(spec);
         this.sending = spec.call();
     }
@@ -193,7 +193,7 @@
 
     private void answerOpened(ClientConnection carrier, ClientExchange exchange) {
         deadline.progress();
-        AnswerReader opened = AnswerReader.of(exchange, spec, connector, delivery);
+        ResponseReader opened = ResponseReader.of(exchange, spec, connector, delivery);
         reader = opened;
         if (opened.isCrossed()) {
             connector.metrics().answersCrossed.inc();
@@ -214,13 +214,13 @@
         read(opened);
     }
 
-    private void read(AnswerReader opened) {
+    private void read(ResponseReader opened) {
         if (ended || reader != opened) {
             opened.suspend();
             return;
         }
         deadline.progress();
-        AnswerReader.Progress progress = readSafely(opened);
+        ResponseReader.Progress progress = readSafely(opened);
         if (ended || reader != opened) {
             // The connection failed while it was read, and the failure was told on another way.
             return;
@@ -235,12 +235,12 @@
     }
 
     /** A listener that fails has lost bytes: going on would give the caller an answer with a hole in it. */
-    private AnswerReader.Progress readSafely(AnswerReader opened) {
+    private ResponseReader.Progress readSafely(ResponseReader opened) {
         try {
             return opened.read();
         } catch (RuntimeException fault) {
             log.lost(fault);
-            return AnswerReader.Progress.BROKEN;
+            return ResponseReader.Progress.BROKEN;
         }
     }
 
@@ -347,7 +347,7 @@
             return;
         }
         lastState = state;
-        EnginePatience.Verdict verdict = patience.judge(state, delivery.deliveredChunks());
+        EngineStallPolicy.Verdict verdict = patience.judge(state, delivery.deliveredChunks());
         log.silent(state, delivery.deliveredChunks(), verdict);
         switch (verdict) {
             case WAIT -> deadline.start();
@@ -396,7 +396,7 @@
     }
 
     private void settleConnection(TargetOutcome outcome) {
-        AnswerReader opened = reader;
+        ResponseReader opened = reader;
         boolean readWhole = opened != null && opened.isReusable();
         boolean answered = outcome == TargetOutcome.COMPLETED || outcome == TargetOutcome.REFUSED;
         ClientConnection used = connection;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/LoadReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/LoadReader.java
@@ -88,18 +88,18 @@
     private void ask(Watch watch, long nowMs) {
         if (!watch.awaitsLoad) {
             watch.awaitsLoad = true;
-            TargetQuestion.ask(
+            TargetQuery.ask(
                     connector, watch.target, LOAD_PATH, options.timeoutMs(), answer -> takeLoad(watch, answer, nowMs));
         }
         if (!watch.awaitsEvents && nowMs >= watch.eventsDueMs) {
             watch.awaitsEvents = true;
             watch.eventsDueMs = nowMs + options.cacheEventsEveryMs();
             String path = CACHE_EVENTS_PATH + watch.lastSequence;
-            TargetQuestion.ask(connector, watch.target, path, options.timeoutMs(), answer -> takeEvents(watch, answer));
+            TargetQuery.ask(connector, watch.target, path, options.timeoutMs(), answer -> takeEvents(watch, answer));
         }
     }
 
-    private void takeLoad(Watch watch, TargetQuestion.Answer answer, long askedAtMs) {
+    private void takeLoad(Watch watch, TargetQuery.Answer answer, long askedAtMs) {
         watch.awaitsLoad = false;
         JsonNode json = answer.json();
         if (!json.path("running").isInt() || !isWatched(watch)) {
@@ -114,7 +114,7 @@
         events.accept(new TargetReported(watch.target.id(), report));
     }
 
-    private void takeEvents(Watch watch, TargetQuestion.Answer answer) {
+    private void takeEvents(Watch watch, TargetQuery.Answer answer) {
         watch.awaitsEvents = false;
         if (!answer.json().path("events").isArray() || !isWatched(watch)) {
             return;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/AnswerDelivery.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/ResponseDelivery.java
@@ -15,7 +15,7 @@
  * held to its end, since half of a JSON object is of no use to anyone and would stand in the way of another attempt. Both
  * are bounded by {@link #MAX_HELD_BYTES}: what is larger goes out as it comes, and can no longer be resumed.
  */
-final class AnswerDelivery {
+final class ResponseDelivery {
     /** How much of an answer is held back. */
     static final int MAX_HELD_BYTES = 1 << 20;
 
@@ -30,7 +30,7 @@
     private long reportedTokens;
     private TokenUsage wholeUsage = TokenUsage.NONE;
 
-    AnswerDelivery(AttemptListener listener) {
+    ResponseDelivery(AttemptListener listener) {
         this.listener = listener;
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/AnswerReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/ResponseReader.java
@@ -17,14 +17,14 @@
  * Reads one answer off its connection, hands it on and judges whether it was whole. An answer that may be a refusal
  * (503, 429) is held back until its end, as are the whole answers of model engines.
  */
-final class AnswerReader {
+final class ResponseReader {
     private static final String EVENT_STREAM = "text/event-stream";
     private static final int OK = 200;
     /** Reads in a row before the IO thread turns to its other connections. */
     private static final int READS_IN_A_ROW = 16;
 
     private final TargetConnector connector;
-    private final AnswerDelivery delivery;
+    private final ResponseDelivery delivery;
     private final StreamSourceChannel channel;
     private final int status;
     private final Map<String, String> headers;
@@ -37,8 +37,8 @@
     private boolean readWhole;
     private long answerBytes;
 
-    private AnswerReader(
-            ClientExchange exchange, AttemptSpec spec, TargetConnector connector, AnswerDelivery delivery) {
+    private ResponseReader(
+            ClientExchange exchange, AttemptSpec spec, TargetConnector connector, ResponseDelivery delivery) {
         ClientResponse response = exchange.getResponse();
         HeaderMap received = response.getResponseHeaders();
         this.connector = connector;
@@ -54,9 +54,9 @@
         this.fromEngine = spec.isEngineCall();
     }
 
-    static AnswerReader of(
-            ClientExchange exchange, AttemptSpec spec, TargetConnector connector, AnswerDelivery delivery) {
-        return new AnswerReader(exchange, spec, connector, delivery);
+    static ResponseReader of(
+            ClientExchange exchange, AttemptSpec spec, TargetConnector connector, ResponseDelivery delivery) {
+        return new ResponseReader(exchange, spec, connector, delivery);
     }
 
     int status() {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetQuestion.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetQuery.java
@@ -17,7 +17,7 @@
 import org.xnio.XnioIoThread;
 
 /** A question of the router's own to a target: a GET answered by a small JSON object. */
-final class TargetQuestion implements AttemptListener {
+final class TargetQuery implements AttemptListener {
     private static final ObjectMapper JSON = new ObjectMapper();
     /** A larger answer is cut off, and so unreadable. */
     private static final int MAX_ANSWER_BYTES = 1 << 20;
@@ -26,14 +26,14 @@
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private int status;
 
-    private TargetQuestion(Consumer<Answer> listener) {
+    private TargetQuery(Consumer<Answer> listener) {
         this.listener = listener;
     }
 
     /** Asks over a pooled connection where there is one; the listener is called once, on an IO thread. */
     static void ask(
             TargetConnector connector, TargetSettings target, String path, long timeoutMs, Consumer<Answer> listener) {
-        HttpAttempt.start(connector, spec(connector, target, "GET", path, timeoutMs), new TargetQuestion(listener));
+        HttpAttempt.start(connector, spec(connector, target, "GET", path, timeoutMs), new TargetQuery(listener));
     }
 
     /** Asks over a new connection; the listener is called once, on the thread. */
@@ -45,14 +45,14 @@
             XnioIoThread thread,
             Consumer<Answer> listener) {
         HttpAttempt.startFresh(
-                connector, spec(connector, target, "GET", path, timeoutMs), new TargetQuestion(listener), thread);
+                connector, spec(connector, target, "GET", path, timeoutMs), new TargetQuery(listener), thread);
     }
 
     /** Tells the target something by an empty POST over a new connection, once; the answer means nothing. */
     static void tell(
             TargetConnector connector, TargetSettings target, String path, long timeoutMs, XnioIoThread thread) {
         AttemptSpec spec = spec(connector, target, "POST", path, timeoutMs);
-        HttpAttempt.startFresh(connector, spec, new TargetQuestion(answer -> {}), thread);
+        HttpAttempt.startFresh(connector, spec, new TargetQuery(answer -> {}), thread);
     }
 
     private static AttemptSpec spec(
--- a/daemon/src/test/java/org/marjoramswitch/daemon/core/DecisionDutyTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/core/DecisionLoopTest.java
@@ -35,7 +35,7 @@
 import org.marjoramswitch.kernel.settings.TargetKind;
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
-class DecisionDutyTest {
+class DecisionLoopTest {
     private static final PoolId POOL = PoolId.of("atelier-llm");
     private static final TargetId TARGET = TargetId.of("engine-1");
     private static final InstanceId PEER = InstanceId.of("entry-2");
@@ -45,7 +45,7 @@
     private final MetricRegistry metrics = new MetricRegistry();
     private final Attempts attempts = new Attempts();
     private final Heard caller = new Heard();
-    private DecisionDuty duty;
+    private DecisionLoop duty;
 
     @AfterEach
     void close() {
@@ -212,8 +212,8 @@
         duty.offer(new Event.SettingsAccepted(settings()));
     }
 
-    private DecisionDuty.Builder builder(Decider decider, int maxWaiting) {
-        return DecisionDuty.builder(
+    private DecisionLoop.Builder builder(Decider decider, int maxWaiting) {
+        return DecisionLoop.builder(
                         decider, () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime()), maxWaiting, metrics)
                 .targets(attempts);
     }
