--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/AttemptLog.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/AttemptLog.java
@@ -7,7 +7,7 @@
 import org.marjoramswitch.kernel.model.TargetOutcome;
 import org.marjoramswitch.kernel.model.Usage;
 
-/** The log lines of one attempt. */
+/** Writes the log lines of one attempt. */
 final class AttemptLog {
     private static final KeyValueLog LOG = KeyValueLog.of(HttpAttempt.class);
     private static final String TARGET = "target";
@@ -19,7 +19,7 @@
         this.spec = spec;
     }
 
-    void crossed(ResponseReader answer) {
+    void crossed(ResponseReader response) {
         LOG.warn(
                 "answer_crossed",
                 TARGET,
@@ -27,7 +27,7 @@
                 REQUEST,
                 spec.requestId(),
                 "answered",
-                String.valueOf(answer.echoedId()));
+                String.valueOf(response.echoedId()));
     }
 
     void notice(TargetStatusNotice notice) {
@@ -43,7 +43,7 @@
                 notice.backoffMs());
     }
 
-    void lost(RuntimeException fault) {
+    void deliveryFailed(RuntimeException fault) {
         LOG.error(
                 fault,
                 "answer_lost",
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/AttemptSpec.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/AttemptSpec.java
@@ -8,11 +8,11 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * What an attempt is to do.
+ * Describes an attempt: the target, the call and the protocol.
  *
- * @param requestId what the answer has to echo, where it echoes anything
- * @param progressTimeoutMs how long the target may be silent
- * @param protocol how the target is spoken to
+ * @param requestId id that the response must carry if it carries any
+ * @param progressTimeoutMs longest time without a byte sent or received
+ * @param protocol conventions of the target's HTTP interface
  */
 record AttemptSpec(
         Purpose purpose,
@@ -37,28 +37,28 @@
         return TargetAddress.of(target);
     }
 
-    /** The call that gives the answer from one of its chunks on, without executing anything. */
+    /** The call that fetches the response from the given chunk on, without executing the request again. */
     TargetCall resumeFrom(long chunk) {
         String path = RESUME_PATH + URLEncoder.encode(requestId, StandardCharsets.UTF_8) + "?from=" + chunk;
         return TargetCall.of(call.kind(), "GET", path, Map.of(), new byte[0], call.streaming());
     }
 
-    /** Whether the target can be asked what became of the request. */
-    boolean isAskable() {
+    /** Whether the target can be queried for the state of the request. */
+    boolean isQueryable() {
         return purpose == Purpose.CALL && isEngineCall();
     }
 
-    /** Whether the call speaks the product's own protocol of model engines. */
+    /** Whether the call uses the default protocol for model engines. */
     boolean isEngineCall() {
         return call.kind() == TargetKind.MODEL_ENGINE && !protocol.forwarding();
     }
 
-    /** What an attempt is for; the two are counted and logged apart. */
+    /** Purpose of an attempt; counted and logged separately. */
     enum Purpose {
         /** A caller's request. */
         CALL("attempt_ended"),
-        /** A question of the router's own: load, cache events, a request's state. */
-        QUESTION("question_ended");
+        /** A query by the router itself: load, cache events, a request's state. */
+        QUERY("question_ended");
 
         private final String endEvent;
 
@@ -66,7 +66,7 @@
             this.endEvent = endEvent;
         }
 
-        /** The log's event at the end. */
+        /** Log event written when the attempt ends. */
         String endEvent() {
             return endEvent;
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/BodyWriter.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/BodyWriter.java
@@ -4,12 +4,12 @@
 import java.nio.ByteBuffer;
 import org.xnio.channels.StreamSinkChannel;
 
-/** Writes a request's body as fast as the target takes it. Confined to the connection's IO thread. */
+/** Writes a request body without blocking. Confined to the connection's I/O thread. */
 final class BodyWriter {
     private final StreamSinkChannel channel;
     private final ByteBuffer unsent;
     private final Listener listener;
-    private boolean over;
+    private boolean finished;
 
     private BodyWriter(StreamSinkChannel channel, byte[] body, Listener listener) {
         this.channel = channel;
@@ -17,7 +17,7 @@
         this.listener = listener;
     }
 
-    /** Begins; an empty body is sent with the head. */
+    /** Starts writing; an empty body counts as sent together with the head. */
     static void start(StreamSinkChannel channel, byte[] body, Listener listener) {
         if (body.length == 0) {
             listener.onSent();
@@ -29,24 +29,24 @@
     }
 
     private void write() {
-        if (over) {
+        if (finished) {
             return;
         }
         try {
-            if (writeAll()) {
-                over = true;
+            if (flushBody()) {
+                finished = true;
                 channel.suspendWrites();
                 listener.onSent();
             } else {
                 channel.resumeWrites();
             }
         } catch (IOException e) {
-            over = true;
+            finished = true;
             listener.onFailed();
         }
     }
 
-    private boolean writeAll() throws IOException {
+    private boolean flushBody() throws IOException {
         while (unsent.hasRemaining()) {
             if (channel.write(unsent) == 0) {
                 return false;
@@ -57,11 +57,11 @@
         return channel.flush();
     }
 
-    /** Hears how the body goes out: progress, and then sent or failed. */
+    /** Receives the progress of the write, then exactly one of sent or failed. */
     interface Listener {
         void onProgress();
 
-        /** The whole request is with the operating system. */
+        /** The complete request has been passed to the operating system. */
         void onSent();
 
         void onFailed();
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/CallHeaders.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/CallHeaders.java
@@ -13,11 +13,11 @@
 import java.util.Set;
 import org.marjoramswitch.daemon.exchange.TargetCall;
 
-/** The heads of requests and answers as they cross from one connection to the other. */
+/** Converts the heads of requests and responses between the caller's and the target's connection. */
 final class CallHeaders {
     private static final String HOST = "host";
-    /** Of one connection only, or set from the body; in lower case. */
-    private static final Set<String> NOT_PASSED_ON = Set.of(
+    /** Hop-by-hop headers and headers set for each connection; in lower case. */
+    private static final Set<String> NOT_FORWARDED = Set.of(
             "connection",
             "content-length",
             "expect",
@@ -42,8 +42,8 @@
         HeaderMap headers = request.getRequestHeaders();
         call.headers().forEach((name, value) -> {
             String lowerCase = lowerCase(name);
-            boolean hostOfCaller = protocol.forwarding() && lowerCase.equals(HOST);
-            if (hostOfCaller || !NOT_PASSED_ON.contains(lowerCase)) {
+            boolean callerHost = protocol.forwarding() && lowerCase.equals(HOST);
+            if (callerHost || !NOT_FORWARDED.contains(lowerCase)) {
                 headers.put(HttpString.tryFromString(name), value);
             }
         });
@@ -60,12 +60,12 @@
         return request;
     }
 
-    /** Names in lower case; a header that came several times is joined by commas. */
-    static Map<String, String> answer(HeaderMap received) {
+    /** Returns names in lower case; the values of a repeated header are joined by commas. */
+    static Map<String, String> response(HeaderMap received) {
         Map<String, String> headers = new LinkedHashMap<>();
         for (HeaderValues values : received) {
             String name = lowerCase(values.getHeaderName().toString());
-            if (name.equals("content-length") || !NOT_PASSED_ON.contains(name)) {
+            if (name.equals("content-length") || !NOT_FORWARDED.contains(name)) {
                 headers.put(name, String.join(", ", values));
             }
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/ConnectionPool.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/ConnectionPool.java
@@ -11,13 +11,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The unused keep-alive connections of each target, and how many are open in all.
+ * Thread-safe pool of idle keep-alive connections per target; also counts open connections.
  *
- * <p>The one used last is taken first, so that under a falling load the others reach the idle age and are closed. The
- * age limit is a safeguard: something between the two ends (a firewall's table, a replaced host) may lose track of a
- * connection that lies still, after which it is silent for good and the request sent on it is lost until its deadline.
- * Only connections that were used a moment ago are used again, so the symptom is left to those that go silent in use,
- * which the progress deadline covers.
+ * <p>The most recently used connection is taken first, so that under falling load the others reach the maximum idle age
+ * and are closed. The maximum idle age limits the use of dead connections: a firewall may drop an idle connection from
+ * its table, or the host may be replaced, after which a request sent on the connection gets no response until its
+ * deadline. Connections that die while in use are covered by the progress deadline.
  */
 final class ConnectionPool {
     private final TargetClientOptions options;
@@ -29,7 +28,7 @@
         this.metrics = metrics;
     }
 
-    /** Takes the connection that was used last, or null where none is open and was used within {@code idleAgeMs}. */
+    /** Takes the most recently used connection; null if none is open or it has been idle for {@code idleAgeMs}. */
     synchronized @Nullable ClientConnection take(TargetAddress address, long idleAgeMs, long nowMs) {
         Deque<Idle> idle = slots(address).idle;
         while (!idle.isEmpty() && !isUsable(idle.getLast(), nowMs)) {
@@ -42,14 +41,14 @@
         return idle.removeLast().connection;
     }
 
-    /** Closes the unused connections to a target one of whose others went silent: they are likely to be, too. */
-    synchronized void distrust(TargetAddress address) {
+    /** Closes the idle connections to a target after another one went silent: these have probably failed too. */
+    synchronized void closeIdle(TargetAddress address) {
         Deque<Idle> idle = slots(address).idle;
         idle.forEach(this::expire);
         idle.clear();
     }
 
-    /** Keeps a connection that ended its last exchange whole; one too many is closed. */
+    /** Returns a connection whose exchange is complete; closes the oldest idle one beyond the maximum. */
     synchronized void giveBack(TargetAddress address, ClientConnection connection, long nowMs) {
         Slots slots = slots(address);
         slots.idle.addLast(new Idle(connection, nowMs));
@@ -58,7 +57,7 @@
         }
     }
 
-    /** Counts a connection about to be opened; false where the target has too many. */
+    /** Counts a connection about to be opened; returns false if the target has the maximum open. */
     synchronized boolean reserve(TargetAddress address) {
         Slots slots = slots(address);
         if (slots.open >= options.maxOpenPerTarget()) {
@@ -68,12 +67,12 @@
         return true;
     }
 
-    /** Uncounts a connection that closed or never opened. */
+    /** Reverses {@link #reserve} for a connection that was closed or failed to open. */
     synchronized void release(TargetAddress address) {
         slots(address).open--;
     }
 
-    /** Closes what has reached the idle age, and forgets targets without a connection. */
+    /** Closes connections at the maximum idle age and removes targets without connections. */
     synchronized void sweep(long nowMs) {
         Iterator<Slots> all = slotsByAddress.values().iterator();
         while (all.hasNext()) {
@@ -113,7 +112,7 @@
     private void expire(Idle idle) {
         metrics.connectionsExpired.inc();
         ClientConnection connection = idle.connection;
-        connection.getIoThread().execute(() -> TargetConnector.cut(connection));
+        connection.getIoThread().execute(() -> TargetConnector.abort(connection));
     }
 
     private Slots slots(TargetAddress address) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/EngineStallPolicy.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/EngineStallPolicy.java
@@ -1,26 +1,26 @@
 package org.marjoramswitch.daemon.target;
 
 /**
- * Judges whether an engine that has been silent for the progress timeout is to be waited for.
+ * Decides whether to keep waiting for an engine that has sent nothing for the progress timeout.
  *
- * <p>An engine is silent for good reasons (it works on an answer that it gives whole, or the request stands in its queue)
- * and for bad ones (it lost the request, or the connection lost track of it while the engine works on for nobody). What
- * the engine says over a new connection tells them apart: progress since the last question is a good reason; a request
- * that has ended, or tokens that should have arrived on a stream and did not, are bad ones, of the connection's.
+ * <p>An engine may be silent because it generates a non-streaming response or still queues the request, or because it
+ * lost the request or the connection has failed. The request's state, queried over a new connection, distinguishes
+ * these: new tokens since the last query are a reason to wait; a request that has ended, or tokens that a stream should
+ * have delivered, indicate a failed connection.
  *
- * <p>Bytes may be on their way while the engine answers, so a bad reason is believed the second time only, after a brief
- * wait. Without progress the patience ends after {@link #MAX_STALLS} timeouts, so that a request whose engine repeats
- * "queued" for ever still ends.
+ * <p>Bytes may be in flight while the engine responds to the query, so a connection is considered failed only on the
+ * second such result, after a brief wait. Without progress, waiting ends after {@link #MAX_STALLS} consecutive
+ * timeouts, so that a request that the engine reports as queued forever still ends.
  *
- * <p>For example, a whole answer that takes 25 s under a timeout of 10 s: asked at 10 s the engine says 2,500 tokens, at
- * 20 s 5,000, and the answer comes at 25 s. On a connection that went silent before the request was sent, the engine
- * says at 10 s that it knows no such request, and the attempt is over.
+ * <p>For example, a non-streaming response takes 25 s under a timeout of 10 s: the engine reports 2,500 tokens at 10 s
+ * and 5,000 at 20 s, and responds at 25 s. If the connection failed before the request was sent, the engine reports at
+ * 10 s that the request is unknown, and the attempt ends.
  */
 final class EngineStallPolicy {
-    /** Timeouts in a row in which an engine may show no progress on a request that it says it holds. */
+    /** Consecutive timeouts without progress on a request that the engine reports as queued or running. */
     static final int MAX_STALLS = 3;
-    /** The same where the engine cannot say and gives its answer whole at the end. */
-    static final int MAX_UNTOLD = 6;
+    /** The same for a non-streaming request whose state the engine does not report. */
+    static final int MAX_UNREPORTED_STALLS = 6;
 
     private final boolean streaming;
     private long lastTokens;
@@ -35,18 +35,18 @@
         return new EngineStallPolicy(streaming);
     }
 
-    /** Judges one more silence, after {@code receivedChunks} of a stream came. */
-    Verdict judge(EngineState state, long receivedChunks) {
+    /** Evaluates one more timeout; {@code receivedChunks} is the number of stream chunks received so far. */
+    Verdict evaluate(EngineState state, long receivedChunks) {
         return switch (state.phase()) {
             case UNREACHABLE, UNKNOWN -> Verdict.GIVE_UP;
-            case NOT_TOLD -> streaming ? Verdict.GIVE_UP : stalled(MAX_UNTOLD);
+            case NOT_TOLD -> streaming ? Verdict.GIVE_UP : stalled(MAX_UNREPORTED_STALLS);
             case CANCELLED -> Verdict.GIVE_UP;
             case ENDED -> suspected();
-            case QUEUED, RUNNING -> held(state, receivedChunks);
+            case QUEUED, RUNNING -> evaluateHeld(state, receivedChunks);
         };
     }
 
-    private Verdict held(EngineState state, long receivedChunks) {
+    private Verdict evaluateHeld(EngineState state, long receivedChunks) {
         if (streaming && state.tokens() > receivedChunks) {
             return suspected();
         }
@@ -58,9 +58,9 @@
         return stalled(MAX_STALLS);
     }
 
-    private Verdict stalled(int most) {
+    private Verdict stalled(int maxStalls) {
         stalls++;
-        return stalls < most ? Verdict.WAIT : Verdict.GIVE_UP;
+        return stalls < maxStalls ? Verdict.WAIT : Verdict.GIVE_UP;
     }
 
     private Verdict suspected() {
@@ -68,12 +68,12 @@
         return suspicions == 1 ? Verdict.WAIT_BRIEFLY : Verdict.LEAVE_CONNECTION;
     }
 
-    /** What to do about a silence. */
+    /** How to proceed after a timeout. */
     enum Verdict {
-        /** One more timeout. */
+        /** Waits for another progress timeout. */
         WAIT,
         WAIT_BRIEFLY,
-        /** The engine has what did not come: the connection is to blame. */
+        /** The engine has produced what was not received: the connection has failed. */
         LEAVE_CONNECTION,
         GIVE_UP
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/EngineState.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/EngineState.java
@@ -7,7 +7,7 @@
 import org.xnio.XnioIoThread;
 
 /**
- * What an engine makes of a request, by its own word.
+ * State of a request as reported by the engine.
  *
  * @param tokens output tokens generated so far
  */
@@ -16,17 +16,17 @@
     private static final String CANCEL_PATH = "/v1/cancel/";
     private static final long TIMEOUT_MS = 1_000;
 
-    /** Where the request stands. */
+    /** Phase of the request in the engine. */
     enum Phase {
         QUEUED,
         RUNNING,
         ENDED,
         CANCELLED,
-        /** The engine knows no such request. */
+        /** The engine has no such request. */
         UNKNOWN,
-        /** The engine answers, but does not say. */
+        /** The engine responds but does not report a state. */
         NOT_TOLD,
-        /** The engine does not answer on a new connection either. */
+        /** The engine does not respond on a new connection either. */
         UNREACHABLE
     }
 
@@ -34,33 +34,35 @@
         return new EngineState(phase, tokens);
     }
 
-    /** Whether the engine works on the request, or will. */
+    /** Whether the engine is processing the request or has queued it. */
     boolean isHeld() {
         return phase == Phase.QUEUED || phase == Phase.RUNNING;
     }
 
-    /** Whether the engine can give the answer, or its rest, over another connection. */
+    /** Whether the engine can send the response, or its remainder, over another connection. */
     boolean isResumable() {
         return isHeld() || phase == Phase.ENDED;
     }
 
-    /** Asks over a new connection, since the one that carries the request is the one in doubt. */
-    static void ask(TargetConnector connector, AttemptSpec spec, XnioIoThread thread, Consumer<EngineState> listener) {
+    /** Queries the state over a new connection, since the one that carries the request may have failed. */
+    static void query(
+            TargetConnector connector, AttemptSpec spec, XnioIoThread thread, Consumer<EngineState> listener) {
         String path = PATH + URLEncoder.encode(spec.requestId(), StandardCharsets.UTF_8);
-        TargetQuery.askFresh(connector, spec.target(), path, TIMEOUT_MS, thread, answer -> listener.accept(in(answer)));
+        TargetQuery.sendFresh(
+                connector, spec.target(), path, TIMEOUT_MS, thread, response -> listener.accept(parse(response)));
     }
 
-    /** Tells the engine to give up a request whose connection may never tell it. */
+    /** Cancels the request at the engine, which may never notice that the request's connection was closed. */
     static void cancel(TargetConnector connector, AttemptSpec spec, XnioIoThread thread) {
         String path = CANCEL_PATH + URLEncoder.encode(spec.requestId(), StandardCharsets.UTF_8);
-        TargetQuery.tell(connector, spec.target(), path, TIMEOUT_MS, thread);
+        TargetQuery.post(connector, spec.target(), path, TIMEOUT_MS, thread);
     }
 
-    private static EngineState in(TargetQuery.Answer answer) {
-        if (!answer.isWhole()) {
+    private static EngineState parse(TargetQuery.Response response) {
+        if (!response.isComplete()) {
             return of(Phase.UNREACHABLE, 0);
         }
-        JsonNode json = answer.json();
+        JsonNode json = response.json();
         long tokens = json.path("tokens").asLong();
         return switch (json.path("state").asText()) {
             case "queued" -> of(Phase.QUEUED, tokens);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/HttpAttempt.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/HttpAttempt.java
@@ -16,43 +16,43 @@
 import org.xnio.XnioIoThread;
 
 /**
- * One attempt at a target, from the choice of a connection to the one {@code onEnd}.
+ * Executes one attempt at a target over HTTP, from the choice of a connection to the single {@code onEnd}.
  *
- * <p>Every step runs on one IO thread, that of the attempt's connections, so that the state needs no lock and the
- * listener is called in order. A cancel and the deadline are steps like the others.
+ * <p>Thread-safety: all steps, including cancellation and deadlines, run on one I/O thread, that of the attempt's
+ * connections, so the state needs no lock and the listener is called in order.
  *
- * <p><b>May it be said that the request did not run?</b> Only where not a byte of it went out, which the connection's
- * own count of written bytes decides, or where the target says so. A pooled connection may have been closed by the
- * target a moment ago: if that shows before a byte was written, one fresh connection is tried, which repeats nothing;
- * if it shows later, the target may have read the request before it closed, and the outcome is broken.
+ * <p>Not-run guarantee: the outcome is {@code REFUSED} only if no byte of the request was written, according to the
+ * connection's count of written bytes, or if the target reports that it did not start the request. The target may have
+ * just closed a pooled connection: if this is detected before a byte was written, one new connection is tried, which
+ * cannot execute the request twice; if detected later, the target may have read the request, and the outcome is broken.
  *
- * <p><b>Is the answer the request's own, and whole?</b> A connection carries one exchange at a time and is given back
- * to the pool only after an exchange whose request went out whole, whose answer was read whole and echoed the request's
- * id. Anything cut, late, cancelled or crossed closes the connection, so that the rest of one answer is never read as
- * the next one's. An answer whose end the framing does not show (neither length nor chunks) cannot be told from a
- * broken one and counts as broken; a stream of a model engine must also end with its end mark, since an engine that
- * dies can still close its chunks properly.
+ * <p>Correctness: a connection carries one exchange at a time and returns to the pool only after the request was sent
+ * completely and its response was read completely and carried the request's id. After a failed, late, cancelled or
+ * crossed exchange the connection is closed, so that the remainder of one response is never read as part of the next. A
+ * response without framing (neither length nor chunks) cannot be distinguished from a truncated one and counts as
+ * broken. A model engine's stream must also end with its end mark, since a crashing engine may still terminate its
+ * chunked encoding properly.
  *
- * <p><b>Silence.</b> The deadline starts anew with each byte written or read. A model engine may have good reason to be
- * silent: it gives a whole answer only at its end, and works off its own queue first. So it is asked over a new
- * connection what it makes of the request, and {@link EngineStallPolicy} judges.
+ * <p>Progress timeout: the deadline restarts with each byte written or read. A model engine may send nothing while it
+ * queues the request or generates a non-streaming response, so the state of the request is queried over a new
+ * connection and {@link EngineStallPolicy} decides.
  *
- * <p><b>Going on.</b> An engine that still has the request, or its whole answer, is asked for the part that did not come,
- * over a new connection. That executes nothing: the request itself is never sent again from here; whether it may be, its
- * entry decides. The connection that is left stays open to the attempt's end, since some engines cancel a request whose
- * connection closes. The attempt goes on once, and once more for each time that this brought the answer further, so it
- * ends also with an engine that promises and never delivers.
+ * <p>Resumption: if the engine still has the request, or its complete response, the missing part is fetched over a new
+ * connection. This executes nothing: the attempt never sends the request again; the entry instance decides about
+ * retries. The abandoned connection stays open until the attempt ends, since some engines cancel a request whose
+ * connection closes. An attempt is resumed once, and once more after each resumption that delivered further chunks, so
+ * it also ends with an engine that never sends what it reports.
  *
- * <p>For example, a firewall forgets the connection after 40 tokens. At the deadline the engine says 900; a moment later,
- * for what may be on its way, 940; then {@code GET /v1/resume/<id>?from=40} brings the rest, and the caller sees one
- * whole answer with a pause in it.
+ * <p>For example, a firewall drops the connection after 40 tokens. At the deadline the engine reports 900 tokens; after
+ * a brief wait for bytes in flight it reports 940; then {@code GET /v1/resume/<id>?from=40} fetches the remainder, and
+ * the caller gets one complete response with a pause in it.
  *
- * <p><b>Memory.</b> The listener takes every byte at once, so the target is never slowed down: what a slow caller leaves
- * unread is held by the listener. It is bounded by the largest answer taken; within the attempt there is one read buffer
- * at a time and what {@link ResponseDelivery} holds.
+ * <p>Memory: the listener accepts every byte immediately, so the target is never slowed down, and buffers what a slow
+ * caller leaves unread, up to the maximum response size. The attempt itself holds one read buffer at a time and what
+ * {@link ResponseDelivery} buffers.
  */
 final class HttpAttempt implements Attempt {
-    /** For bytes that are on their way when the engine says that it has sent them. */
+    /** Allows for bytes in flight when the engine reports that it has sent them. */
     private static final long BRIEF_WAIT_MS = 200;
 
     private final TargetConnector connector;
@@ -62,19 +62,19 @@
     private final XnioIoThread thread;
     private final long startedAtMs;
     private final ProgressDeadline deadline;
-    private final EngineStallPolicy patience;
+    private final EngineStallPolicy stallPolicy;
 
     private final ResponseDelivery delivery;
     private final AttemptLog log;
-    private final List<ClientConnection> leftConnections = new ArrayList<>(0);
+    private final List<ClientConnection> abandonedConnections = new ArrayList<>(0);
 
     private TargetCall sending;
     private @Nullable ClientConnection connection;
     private @Nullable ResponseReader reader;
     private @Nullable EngineState lastState;
     private boolean pooled;
-    private boolean sentEarlier;
-    private int resumes;
+    private boolean sentOnAbandoned;
+    private int resumeCount;
     private long chunksAtResume;
     private long writtenBefore;
     private long readBefore;
@@ -89,13 +89,13 @@
         this.thread = thread;
         this.startedAtMs = connector.nowMs();
         this.deadline = ProgressDeadline.of(thread, connector::nowMs, spec.progressTimeoutMs(), this::onSilence);
-        this.patience = EngineStallPolicy.of(spec.call().streaming());
+        this.stallPolicy = EngineStallPolicy.of(spec.call().streaming());
         this.delivery = new ResponseDelivery(listener);
         this.log = new AttemptLog(spec);
         this.sending = spec.call();
     }
 
-    /** Starts on a pooled connection where there is one. */
+    /** Starts on a pooled connection if one is available. */
     static HttpAttempt start(TargetConnector connector, AttemptSpec spec, AttemptListener listener) {
         ClientConnection reused = connector.take(spec);
         XnioIoThread thread = reused == null ? connector.anyThread() : reused.getIoThread();
@@ -104,7 +104,7 @@
         return attempt;
     }
 
-    /** Starts on a fresh connection, on the given thread. */
+    /** Starts on a new connection, on the given I/O thread. */
     static HttpAttempt startFresh(
             TargetConnector connector, AttemptSpec spec, AttemptListener listener, XnioIoThread thread) {
         HttpAttempt attempt = new HttpAttempt(connector, spec, listener, thread);
@@ -138,7 +138,7 @@
             return;
         }
         if (ended) {
-            TargetConnector.cut(fresh);
+            TargetConnector.abort(fresh);
             return;
         }
         send(fresh);
@@ -146,9 +146,8 @@
 
     private void send(ClientConnection usable) {
         if (sending.isExpired(System.nanoTime())) {
-            // On a busy instance the decisions' own end of the request may come after its turn here or its connection.
-            // Sent
-            // now, the target would work for nobody.
+            // On a busy instance the kernel's cancellation may arrive only after the connection is ready. The target
+            // would process a request whose caller has timed out.
             connector.giveBack(address, usable);
             end(TargetOutcome.CANCELLED);
             return;
@@ -158,7 +157,7 @@
         writtenBefore = usable.getStatistics().getWritten();
         readBefore = usable.getStatistics().getRead();
         if (!usable.isOpen()) {
-            broken();
+            connectionFailed();
             return;
         }
         usable.sendRequest(
@@ -166,7 +165,7 @@
     }
 
     private void requestOpened(ClientConnection carrier, ClientExchange exchange) {
-        exchange.setResponseListener(callback(carrier, this::answerOpened));
+        exchange.setResponseListener(callback(carrier, this::responseOpened));
         BodyWriter.start(exchange.getRequestChannel(), sending.body(), new BodyWriter.Listener() {
             @Override
             public void onProgress() {
@@ -185,20 +184,20 @@
             @Override
             public void onFailed() {
                 if (isCurrent(carrier)) {
-                    broken();
+                    connectionFailed();
                 }
             }
         });
     }
 
-    private void answerOpened(ClientConnection carrier, ClientExchange exchange) {
+    private void responseOpened(ClientConnection carrier, ClientExchange exchange) {
         deadline.progress();
         ResponseReader opened = ResponseReader.of(exchange, spec, connector, delivery);
         reader = opened;
         if (opened.isCrossed()) {
             connector.metrics().answersCrossed.inc();
             log.crossed(opened);
-            broken();
+            connectionFailed();
             return;
         }
         TargetStatusNotice notice = opened.notice();
@@ -206,7 +205,7 @@
             log.notice(notice);
             listener.onNotice(notice);
         }
-        if (resumes > 0 && !opened.isContinuation()) {
+        if (resumeCount > 0 && !opened.isContinuation()) {
             end(brokenOutcome());
             return;
         }
@@ -222,7 +221,7 @@
         deadline.progress();
         ResponseReader.Progress progress = readSafely(opened);
         if (ended || reader != opened) {
-            // The connection failed while it was read, and the failure was told on another way.
+            // The connection failed during the read, and the failure was already handled by another callback.
             return;
         }
         switch (progress) {
@@ -230,27 +229,27 @@
             case AGAIN -> thread.execute(() -> read(opened));
             case WHOLE -> end(TargetOutcome.COMPLETED);
             case NOT_STARTED -> end(TargetOutcome.REFUSED);
-            case BROKEN -> broken();
+            case BROKEN -> connectionFailed();
         }
     }
 
-    /** A listener that fails has lost bytes: going on would give the caller an answer with a hole in it. */
+    /** A listener that throws has lost bytes: continuing would give the caller a response with a gap. */
     private ResponseReader.Progress readSafely(ResponseReader opened) {
         try {
             return opened.read();
         } catch (RuntimeException fault) {
-            log.lost(fault);
+            log.deliveryFailed(fault);
             return ResponseReader.Progress.BROKEN;
         }
     }
 
-    /** The connection failed, or what came on it is not to be trusted. */
-    private void broken() {
+    /** Handles a failed connection or a response that must not be delivered. */
+    private void connectionFailed() {
         if (ended) {
             return;
         }
-        if (!nothingSent()) {
-            goOnElsewhere(brokenOutcome());
+        if (!isNothingSent()) {
+            resumeOnNewConnection(brokenOutcome());
             return;
         }
         if (!pooled) {
@@ -262,53 +261,53 @@
         connect();
     }
 
-    /** Asks what the engine makes of the request, to go on with its answer over another connection. */
-    private void goOnElsewhere(TargetOutcome otherwise) {
-        if (!spec.isAskable() || !delivery.isSeamless()) {
-            end(otherwise);
+    /** Queries the state of the request, to resume its response over a new connection. */
+    private void resumeOnNewConnection(TargetOutcome outcomeIfNotResumable) {
+        if (!spec.isQueryable() || !delivery.isResumable()) {
+            end(outcomeIfNotResumable);
             return;
         }
-        leaveConnection();
-        EngineState.ask(connector, spec, thread, state -> goOn(state, otherwise));
+        abandonConnection();
+        EngineState.query(connector, spec, thread, state -> resume(state, outcomeIfNotResumable));
     }
 
-    private void goOn(EngineState state, TargetOutcome otherwise) {
+    private void resume(EngineState state, TargetOutcome outcomeIfNotResumable) {
         if (ended) {
             return;
         }
         lastState = state;
-        boolean broughtFurther = delivery.deliveredChunks() > chunksAtResume;
-        if (!state.isResumable() || (resumes > 0 && !broughtFurther)) {
-            end(otherwise);
+        boolean progressed = delivery.deliveredChunks() > chunksAtResume;
+        if (!state.isResumable() || (resumeCount > 0 && !progressed)) {
+            end(outcomeIfNotResumable);
             return;
         }
-        resumes++;
+        resumeCount++;
         chunksAtResume = delivery.deliveredChunks();
         sending = spec.resumeFrom(chunksAtResume);
         connector.metrics().answersResumed.inc();
-        log.resumed(chunksAtResume, otherwise);
+        log.resumed(chunksAtResume, outcomeIfNotResumable);
         pooled = false;
         deadline.start();
-        connector.connect(address, thread, fresh -> connected(fresh, otherwise));
+        connector.connect(address, thread, fresh -> connected(fresh, outcomeIfNotResumable));
     }
 
-    /** Gives up the connection for this attempt, but closes it only at the attempt's end. */
-    private void leaveConnection() {
+    /** Stops using the connection; it is closed only when the attempt ends. */
+    private void abandonConnection() {
         deadline.stop();
-        sentEarlier = true;
+        sentOnAbandoned = true;
         countBytes();
-        ClientConnection left = connection;
-        if (left != null) {
-            leftConnections.add(left);
+        ClientConnection abandoned = connection;
+        if (abandoned != null) {
+            abandonedConnections.add(abandoned);
         }
         connection = null;
         reader = null;
-        delivery.dropUnfinished();
+        delivery.discardIncomplete();
     }
 
-    private boolean nothingSent() {
+    private boolean isNothingSent() {
         ClientConnection used = connection;
-        return !sentEarlier && (used == null || used.getStatistics().getWritten() == writtenBefore);
+        return !sentOnAbandoned && (used == null || used.getStatistics().getWritten() == writtenBefore);
     }
 
     private boolean isCurrent(ClientConnection carrier) {
@@ -316,54 +315,54 @@
     }
 
     private TargetOutcome brokenOutcome() {
-        return delivery.hasBegun() ? TargetOutcome.BROKEN_IN_ANSWER : TargetOutcome.BROKEN_BEFORE_ANSWER;
+        return delivery.hasDelivered() ? TargetOutcome.BROKEN_IN_ANSWER : TargetOutcome.BROKEN_BEFORE_ANSWER;
     }
 
     private TargetOutcome silentOutcome() {
-        return delivery.hasBegun() ? TargetOutcome.SILENT_IN_ANSWER : TargetOutcome.SILENT_BEFORE_ANSWER;
+        return delivery.hasDelivered() ? TargetOutcome.SILENT_IN_ANSWER : TargetOutcome.SILENT_BEFORE_ANSWER;
     }
 
     private void onSilence() {
         if (ended) {
             return;
         }
-        if (nothingSent()) {
+        if (isNothingSent()) {
             end(TargetOutcome.REFUSED);
-        } else if (spec.isAskable()) {
+        } else if (spec.isQueryable()) {
             long progressCount = deadline.progressCount();
-            EngineState.ask(connector, spec, thread, state -> judgeSilence(state, progressCount));
+            EngineState.query(connector, spec, thread, state -> onEngineState(state, progressCount));
         } else {
             end(silentOutcome());
         }
     }
 
-    /** Bytes that came while the target was asked count for more than what it said. */
-    private void judgeSilence(EngineState state, long progressCountWhenAsked) {
+    /** Bytes that arrived during the query take precedence over its result. */
+    private void onEngineState(EngineState state, long progressCountAtQuery) {
         if (ended || connection == null) {
             return;
         }
-        if (deadline.progressCount() > progressCountWhenAsked) {
+        if (deadline.progressCount() > progressCountAtQuery) {
             deadline.start();
             return;
         }
         lastState = state;
-        EngineStallPolicy.Verdict verdict = patience.judge(state, delivery.deliveredChunks());
+        EngineStallPolicy.Verdict verdict = stallPolicy.evaluate(state, delivery.deliveredChunks());
         log.silent(state, delivery.deliveredChunks(), verdict);
         switch (verdict) {
             case WAIT -> deadline.start();
             case WAIT_BRIEFLY -> deadline.startBrief(BRIEF_WAIT_MS);
-            case LEAVE_CONNECTION -> leaveSilentConnection(state);
+            case LEAVE_CONNECTION -> resumeAfterSilence(state);
             case GIVE_UP -> end(silentOutcome());
         }
     }
 
-    private void leaveSilentConnection(EngineState state) {
-        if (!delivery.isSeamless()) {
+    private void resumeAfterSilence(EngineState state) {
+        if (!delivery.isResumable()) {
             end(silentOutcome());
             return;
         }
-        leaveConnection();
-        goOn(state, silentOutcome());
+        abandonConnection();
+        resume(state, silentOutcome());
     }
 
     private void end(TargetOutcome outcome) {
@@ -373,7 +372,7 @@
         ended = true;
         deadline.stop();
         countBytes();
-        settleConnections(outcome);
+        releaseConnections(outcome);
         Usage usage = usage();
         int status = reader == null ? 0 : reader.status();
         connector.metrics().ended(spec.purpose(), outcome);
@@ -381,26 +380,26 @@
         listener.onEnd(outcome, usage);
     }
 
-    private void settleConnections(TargetOutcome outcome) {
-        settleConnection(outcome);
-        leftConnections.forEach(this::cut);
+    private void releaseConnections(TargetOutcome outcome) {
+        releaseConnection(outcome);
+        abandonedConnections.forEach(this::abort);
         if (outcome != TargetOutcome.SILENT_BEFORE_ANSWER && outcome != TargetOutcome.SILENT_IN_ANSWER) {
             return;
         }
-        connector.pool().distrust(address);
+        connector.pool().closeIdle(address);
         EngineState state = lastState;
         if (state != null && state.isHeld()) {
-            // On a silent connection the close does not reach the engine, which would work on for nobody.
+            // Closing a silent connection may not reach the engine, which would continue a request without a caller.
             EngineState.cancel(connector, spec, thread);
         }
     }
 
-    private void settleConnection(TargetOutcome outcome) {
+    private void releaseConnection(TargetOutcome outcome) {
         ResponseReader opened = reader;
-        boolean readWhole = opened != null && opened.isReusable();
-        boolean answered = outcome == TargetOutcome.COMPLETED || outcome == TargetOutcome.REFUSED;
+        boolean reusable = opened != null && opened.isReusable();
+        boolean responseRead = outcome == TargetOutcome.COMPLETED || outcome == TargetOutcome.REFUSED;
         ClientConnection used = connection;
-        if (used != null && answered && readWhole && requestSent && used.isOpen()) {
+        if (used != null && responseRead && reusable && requestSent && used.isOpen()) {
             connector.giveBack(address, used);
             return;
         }
@@ -411,13 +410,13 @@
         ClientConnection used = connection;
         connection = null;
         if (used != null) {
-            cut(used);
+            abort(used);
         }
     }
 
-    private void cut(ClientConnection used) {
+    private void abort(ClientConnection used) {
         connector.metrics().connectionsDiscarded.inc();
-        TargetConnector.cut(used);
+        TargetConnector.abort(used);
     }
 
     private void countBytes() {
@@ -447,7 +446,7 @@
             @Override
             public void failed(IOException e) {
                 if (isCurrent(carrier)) {
-                    broken();
+                    connectionFailed();
                 }
             }
         };
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/LoadReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/LoadReader.java
@@ -17,12 +17,12 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Reads load reports and cache events off the targets that this instance watches. Runs on the client's IO threads, on
- * which the consumer is called; it must not block. A target that has not answered one question is not asked the
- * next, so a slow target costs one connection.
+ * Polls load reports and cache events of the targets that this instance watches. Runs on the client's I/O threads and
+ * calls the consumer on them, which must not block. At most one query of each kind is outstanding per target, so a slow
+ * target does not accumulate connections.
  *
- * <p>A report is dated from before the question was sent, less the age that the target gives: the way there and back
- * makes it look older than it is, never fresher.
+ * <p>A report is dated at the time the query was sent, minus the age that the target reports: the round trip makes it
+ * appear older than it is, never newer.
  */
 public final class LoadReader implements AutoCloseable {
     private static final String LOAD_PATH = "/v1/load";
@@ -35,7 +35,7 @@
     private final Supplier<? extends Collection<TargetSettings>> targets;
     private final Consumer<Event> events;
     private final Map<TargetId, Watch> watches = new ConcurrentHashMap<>();
-    private final XnioExecutor.Key asking;
+    private final XnioExecutor.Key pollTimer;
 
     private LoadReader(
             TargetConnector connector,
@@ -48,16 +48,16 @@
         this.clockMs = clockMs;
         this.targets = targets;
         this.events = events;
-        this.asking =
-                connector.anyThread().executeAtInterval(this::askAll, options.loadEveryMs(), TimeUnit.MILLISECONDS);
+        this.pollTimer =
+                connector.anyThread().executeAtInterval(this::queryAll, options.loadEveryMs(), TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Starts to read.
+     * Starts polling.
      *
-     * @param clockMs the time that reports are dated by
-     * @param targets the model engines to watch, asked for anew each time; may be called on any thread
-     * @param events takes {@link TargetReported} and {@link PrefixCached}
+     * @param clockMs clock that dates the reports
+     * @param targets supplies the model engines to watch; called for each poll, on any thread
+     * @param events receives {@link TargetReported} and {@link PrefixCached}
      */
     public static LoadReader start(
             UndertowTargetClient client,
@@ -70,42 +70,47 @@
 
     @Override
     public void close() {
-        asking.remove();
+        pollTimer.remove();
         watches.clear();
     }
 
-    private void askAll() {
-        watch(targets.get());
+    private void queryAll() {
+        updateWatches(targets.get());
         long nowMs = clockMs.getAsLong();
-        watches.values().forEach(watch -> ask(watch, nowMs));
+        watches.values().forEach(watch -> query(watch, nowMs));
     }
 
-    private void watch(Collection<TargetSettings> wanted) {
+    private void updateWatches(Collection<TargetSettings> wanted) {
         watches.values().removeIf(watch -> !wanted.contains(watch.target));
         wanted.forEach(target -> watches.computeIfAbsent(target.id(), id -> new Watch(target)));
     }
 
-    private void ask(Watch watch, long nowMs) {
-        if (!watch.awaitsLoad) {
-            watch.awaitsLoad = true;
-            TargetQuery.ask(
-                    connector, watch.target, LOAD_PATH, options.timeoutMs(), answer -> takeLoad(watch, answer, nowMs));
+    private void query(Watch watch, long nowMs) {
+        if (!watch.loadPending) {
+            watch.loadPending = true;
+            TargetQuery.send(
+                    connector,
+                    watch.target,
+                    LOAD_PATH,
+                    options.timeoutMs(),
+                    response -> onLoad(watch, response, nowMs));
         }
-        if (!watch.awaitsEvents && nowMs >= watch.eventsDueMs) {
-            watch.awaitsEvents = true;
+        if (!watch.eventsPending && nowMs >= watch.eventsDueMs) {
+            watch.eventsPending = true;
             watch.eventsDueMs = nowMs + options.cacheEventsEveryMs();
             String path = CACHE_EVENTS_PATH + watch.lastSequence;
-            TargetQuery.ask(connector, watch.target, path, options.timeoutMs(), answer -> takeEvents(watch, answer));
+            TargetQuery.send(
+                    connector, watch.target, path, options.timeoutMs(), response -> onCacheEvents(watch, response));
         }
     }
 
-    private void takeLoad(Watch watch, TargetQuery.Answer answer, long askedAtMs) {
-        watch.awaitsLoad = false;
-        JsonNode json = answer.json();
+    private void onLoad(Watch watch, TargetQuery.Response response, long queriedAtMs) {
+        watch.loadPending = false;
+        JsonNode json = response.json();
         if (!json.path("running").isInt() || !isWatched(watch)) {
             return;
         }
-        long measuredAtMs = askedAtMs - Math.max(0, json.path("ageMs").asLong());
+        long measuredAtMs = queriedAtMs - Math.max(0, json.path("ageMs").asLong());
         LoadReport report = LoadReport.of(
                 measuredAtMs,
                 Math.max(0, json.path("running").asInt()),
@@ -114,21 +119,23 @@
         events.accept(new TargetReported(watch.target.id(), report));
     }
 
-    private void takeEvents(Watch watch, TargetQuery.Answer answer) {
-        watch.awaitsEvents = false;
-        if (!answer.json().path("events").isArray() || !isWatched(watch)) {
+    private void onCacheEvents(Watch watch, TargetQuery.Response response) {
+        watch.eventsPending = false;
+        if (!response.json().path("events").isArray() || !isWatched(watch)) {
             return;
         }
-        if (answer.json().path("last").asLong(Long.MAX_VALUE) < watch.lastSequence) {
-            // The target counts anew, so it has restarted: without this its first events would count as seen.
+        if (response.json().path("last").asLong(Long.MAX_VALUE) < watch.lastSequence) {
+            // The sequence has been reset, so the target has restarted. Without the reset here, its first events would
+            // be
+            // skipped as already seen.
             connector.metrics().cacheEventRestarts.inc();
             watch.lastSequence = 0;
             return;
         }
-        answer.json().path("events").forEach(event -> takeEvent(watch, event));
+        response.json().path("events").forEach(event -> onCacheEvent(watch, event));
     }
 
-    private void takeEvent(Watch watch, JsonNode event) {
+    private void onCacheEvent(Watch watch, JsonNode event) {
         long sequence = event.path("sequence").asLong();
         if (sequence <= watch.lastSequence) {
             return;
@@ -140,7 +147,7 @@
             events.accept(new PrefixCached(
                     watch.target.id(), prefixHash, event.path("present").asBoolean()));
         } catch (NumberFormatException e) {
-            // An event that cannot be read is as good as one that never came.
+            // A malformed event counts as missing.
             connector.metrics().cacheEventGaps.inc();
         }
     }
@@ -151,8 +158,8 @@
 
     private static final class Watch {
         private final TargetSettings target;
-        private volatile boolean awaitsLoad;
-        private volatile boolean awaitsEvents;
+        private volatile boolean loadPending;
+        private volatile boolean eventsPending;
         private volatile long lastSequence;
         private long eventsDueMs;
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/LoadReaderOptions.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/LoadReaderOptions.java
@@ -1,11 +1,11 @@
 package org.marjoramswitch.daemon.target;
 
 /**
- * How often targets are asked.
+ * Intervals and timeout of the queries to targets.
  *
- * @param loadEveryMs the time between two questions for a target's load
- * @param cacheEventsEveryMs the time between two questions for its cache events
- * @param timeoutMs when a question counts as unanswered
+ * @param loadEveryMs interval between queries for a target's load
+ * @param cacheEventsEveryMs interval between queries for its cache events
+ * @param timeoutMs longest time without a byte of the response
  */
 public record LoadReaderOptions(long loadEveryMs, long cacheEventsEveryMs, long timeoutMs) {
     private static final LoadReaderOptions DEFAULTS = new LoadReaderOptions(1_000, 4_000, 1_000);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/NoticeReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/NoticeReader.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 import org.marjoramswitch.daemon.exchange.TargetStatusNotice;
 
-/** Reads what a target says of itself in the head of an answer. */
+/** Reads the status notice of a target from the head of a response. */
 @FunctionalInterface
 public interface NoticeReader {
-    /** For targets that say nothing there. */
-    NoticeReader SILENT = (status, headers) -> TargetStatusNotice.NONE;
+    /** For targets that send no notices. */
+    NoticeReader NONE = (status, headers) -> TargetStatusNotice.NONE;
 
-    /** Header names are in lower case. */
+    /** @param headers header names are in lower case */
     TargetStatusNotice read(int status, Map<String, String> headers);
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/ProgressDeadline.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/ProgressDeadline.java
@@ -7,8 +7,8 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Calls back once there was no progress for the timeout. One timer looks at the time of the last progress and sleeps for
- * the rest, so that a byte costs a note of the time and no timer. Confined to its IO thread.
+ * Notifies a listener when there was no progress for the timeout. A single timer checks the time of the last progress
+ * and is rescheduled for the remaining time, so that progress only stores a timestamp. Confined to its I/O thread.
  */
 final class ProgressDeadline {
     private final XnioIoThread thread;
@@ -30,7 +30,7 @@
         return new ProgressDeadline(thread, clockMs, timeoutMs, listener);
     }
 
-    /** Starts, and starts anew after the callback. */
+    /** Starts the deadline, or restarts it after the listener was called. */
     void start() {
         lastProgressMs = clockMs.getAsLong();
         arm(timeoutMs);
@@ -41,12 +41,12 @@
         lastProgressMs = clockMs.getAsLong();
     }
 
-    /** Grows with each progress. */
+    /** Number of progress reports so far. */
     long progressCount() {
         return progressCount;
     }
 
-    /** After the callback: calls again unless there is progress within a shorter time. */
+    /** Restarts the deadline with a shorter timeout after the listener was called. */
     void startBrief(long briefMs) {
         long shortMs = Math.min(briefMs, timeoutMs);
         lastProgressMs = clockMs.getAsLong() - timeoutMs + shortMs;
@@ -65,9 +65,9 @@
     }
 
     private void check() {
-        long leftMs = lastProgressMs + timeoutMs - clockMs.getAsLong();
-        if (leftMs > 0) {
-            arm(leftMs);
+        long remainingMs = lastProgressMs + timeoutMs - clockMs.getAsLong();
+        if (remainingMs > 0) {
+            arm(remainingMs);
             return;
         }
         timer = null;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/ResponseDelivery.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/ResponseDelivery.java
@@ -5,129 +5,128 @@
 import org.marjoramswitch.daemon.exchange.TargetClient.AttemptListener;
 
 /**
- * Hands an attempt's answer to its listener, in parts that another connection can go on from.
+ * Delivers an attempt's response to its listener in units from which another connection can resume.
  *
- * <p>The head goes out together with the first bytes, or at a whole but empty end, so that an answer that breaks in
- * between has shown the listener nothing.
+ * <p>The head is delivered together with the first bytes, or at the end of a complete but empty response, so that a
+ * response that fails in between has delivered nothing.
  *
- * <p>A model engine's stream goes out by whole events: a chunk cut in the middle stays here, so that the stream can be
- * resumed from the number of chunks that went out, on another connection, without a seam. An engine's whole answer is
- * held to its end, since half of a JSON object is of no use to anyone and would stand in the way of another attempt. Both
- * are bounded by {@link #MAX_HELD_BYTES}: what is larger goes out as it comes, and can no longer be resumed.
+ * <p>A model engine's stream is delivered in complete events: a partial event stays buffered, so that the stream can be
+ * resumed over another connection from the number of delivered chunks, without gap or overlap. An engine's
+ * non-streaming response is buffered to its end, since a partial JSON object is useless and would prevent another
+ * attempt. Both are bounded by {@link #MAX_BUFFERED_BYTES}: a larger response is delivered as it arrives and can no
+ * longer be resumed.
  */
 final class ResponseDelivery {
-    /** How much of an answer is held back. */
-    static final int MAX_HELD_BYTES = 1 << 20;
+    static final int MAX_BUFFERED_BYTES = 1 << 20;
 
     private final AttemptListener listener;
     private final SseScanner scanner = new SseScanner();
-    private final ByteArrayOutputStream held = new ByteArrayOutputStream(0);
+    private final ByteArrayOutputStream buffered = new ByteArrayOutputStream(0);
     private int status;
     private Map<String, String> headers = Map.of();
     private boolean headDelivered;
     private boolean bytesDelivered;
-    private boolean seamless = true;
+    private boolean resumable = true;
     private long reportedTokens;
-    private TokenUsage wholeUsage = TokenUsage.NONE;
+    private TokenUsage bodyUsage = TokenUsage.NONE;
 
     ResponseDelivery(AttemptListener listener) {
         this.listener = listener;
     }
 
-    /** The head of the answer, or of its continuation, of which nothing is shown if the first has gone out. */
-    void head(int answerStatus, Map<String, String> answerHeaders) {
-        status = answerStatus;
-        headers = answerHeaders;
+    /** Sets the head of the response or of its continuation; ignored once a head has been delivered. */
+    void head(int responseStatus, Map<String, String> responseHeaders) {
+        status = responseStatus;
+        headers = responseHeaders;
     }
 
-    /** Whether a byte of the answer has gone to the listener. */
-    boolean hasBegun() {
+    /** Whether a byte of the response has been delivered. */
+    boolean hasDelivered() {
         return bytesDelivered;
     }
 
-    /** Whether the rest of the answer may come over another connection. */
-    boolean isSeamless() {
-        return seamless;
+    /** Whether the remainder of the response may arrive over another connection. */
+    boolean isResumable() {
+        return resumable;
     }
 
-    /** Chunks of a stream that have gone to the listener. */
+    /** Number of data chunks of a stream that have been delivered. */
     long deliveredChunks() {
-        return scanner.wholeChunks();
+        return scanner.completeChunks();
     }
 
     long outputTokens() {
         return usage().outputTokens();
     }
 
-    /** What the answer has cost so far, as the target named it or as its chunks were counted. */
+    /** Token usage so far: as reported by the target, otherwise as counted from the chunks. */
     TokenUsage usage() {
-        TokenUsage named = scanner.usage();
-        return wholeUsage.isKnown()
-                ? wholeUsage
-                : new TokenUsage(named.promptTokens(), named.cachedPromptTokens(), scanner.outputTokens());
+        TokenUsage reported = scanner.usage();
+        return bodyUsage.isKnown()
+                ? bodyUsage
+                : new TokenUsage(reported.promptTokens(), reported.cachedPromptTokens(), scanner.outputTokens());
     }
 
-    /** Whether the stream has given its end mark. */
+    /** Whether the stream's end mark has been received. */
     boolean hasEndMark() {
         return scanner.isDone();
     }
 
-    /** A part of a model engine's stream. */
-    void stream(byte[] bytes) {
-        int wholeEvents = scanner.scan(bytes);
-        held.write(bytes, 0, wholeEvents);
-        if (wholeEvents > 0) {
+    /** Accepts bytes of a model engine's stream and delivers complete events. */
+    void acceptStream(byte[] bytes) {
+        int completeEventBytes = scanner.scan(bytes);
+        buffered.write(bytes, 0, completeEventBytes);
+        if (completeEventBytes > 0) {
             flush();
             listener.onPosition(scanner.lastEventId());
         }
-        held.write(bytes, wholeEvents, bytes.length - wholeEvents);
+        buffered.write(bytes, completeEventBytes, bytes.length - completeEventBytes);
         flushIfTooLarge();
         reportProgress();
     }
 
-    /** A part of an answer that is given whole; see {@link #heldBytes()}. */
-    void hold(byte[] bytes) {
-        held.writeBytes(bytes);
+    /** Accepts bytes of a response that is delivered only once it is complete; see {@link #bufferedBytes()}. */
+    void buffer(byte[] bytes) {
+        buffered.writeBytes(bytes);
         flushIfTooLarge();
     }
 
-    /** A part of any other answer. */
-    void pass(byte[] bytes) {
-        seamless = false;
+    /** Delivers bytes of any other response as they arrive. */
+    void passThrough(byte[] bytes) {
+        resumable = false;
         deliver(bytes);
     }
 
-    /** What is held back now. */
-    byte[] heldBytes() {
-        return held.toByteArray();
+    byte[] bufferedBytes() {
+        return buffered.toByteArray();
     }
 
-    /** The answer is whole: the rest of it goes out. */
+    /** Delivers what is still buffered, at the end of a complete response. */
     void end(boolean readUsage) {
         if (readUsage) {
-            wholeUsage = TokenUsage.inBody(held.toByteArray());
+            bodyUsage = TokenUsage.parseBody(buffered.toByteArray());
         }
         flush();
         deliverHead();
     }
 
-    /** The connection is given up: what it left unfinished is dropped. */
-    void dropUnfinished() {
-        held.reset();
-        scanner.dropUnfinished();
+    /** Drops a partial event or body of a connection that is abandoned. */
+    void discardIncomplete() {
+        buffered.reset();
+        scanner.discardIncomplete();
     }
 
     private void flushIfTooLarge() {
-        if (held.size() > MAX_HELD_BYTES) {
-            seamless = false;
+        if (buffered.size() > MAX_BUFFERED_BYTES) {
+            resumable = false;
             flush();
         }
     }
 
     private void flush() {
-        if (held.size() > 0) {
-            byte[] bytes = held.toByteArray();
-            held.reset();
+        if (buffered.size() > 0) {
+            byte[] bytes = buffered.toByteArray();
+            buffered.reset();
             deliver(bytes);
         }
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/ResponseReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/ResponseReader.java
@@ -14,14 +14,14 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Reads one answer off its connection, hands it on and judges whether it was whole. An answer that may be a refusal
- * (503, 429) is held back until its end, as are the whole answers of model engines.
+ * Reads one response from its connection, delivers it and determines whether it was complete. A response that may be a
+ * rejection (503, 429) is buffered to its end, as are the non-streaming responses of model engines.
  */
 final class ResponseReader {
     private static final String EVENT_STREAM = "text/event-stream";
     private static final int OK = 200;
-    /** Reads in a row before the IO thread turns to its other connections. */
-    private static final int READS_IN_A_ROW = 16;
+    /** Bounds consecutive reads, so that other connections of the I/O thread get their share. */
+    private static final int MAX_CONSECUTIVE_READS = 16;
 
     private final TargetConnector connector;
     private final ResponseDelivery delivery;
@@ -33,9 +33,9 @@
     private final boolean crossed;
     private final boolean framed;
     private final boolean fromEngine;
-    private final Manner manner;
-    private boolean readWhole;
-    private long answerBytes;
+    private final DeliveryMode deliveryMode;
+    private boolean complete;
+    private long receivedBytes;
 
     private ResponseReader(
             ClientExchange exchange, AttemptSpec spec, TargetConnector connector, ResponseDelivery delivery) {
@@ -45,12 +45,12 @@
         this.delivery = delivery;
         this.channel = exchange.getResponseChannel();
         this.status = response.getResponseCode();
-        this.headers = CallHeaders.answer(received);
+        this.headers = CallHeaders.response(received);
         this.protocol = spec.protocol();
         this.echoedId = headers.get(protocol.idHeader());
         this.crossed = isCrossed(spec);
         this.framed = isFramed(spec.call(), status, received);
-        this.manner = manner(spec);
+        this.deliveryMode = deliveryMode(spec);
         this.fromEngine = spec.isEngineCall();
     }
 
@@ -63,7 +63,7 @@
         return status;
     }
 
-    /** What the target says of itself. */
+    /** The status that the target reports about itself in the response head. */
     TargetStatusNotice notice() {
         return protocol.notices().read(status, headers);
     }
@@ -73,32 +73,32 @@
         return echoedId;
     }
 
-    /** Whether the answer bears another request's id; nothing of it may be delivered. */
+    /** Whether the response carries another request's id; none of it may be delivered. */
     boolean isCrossed() {
         return crossed;
     }
 
-    /** Whether this can be the rest of an answer that began on another connection. */
+    /** Whether this can be the remainder of a response that began on another connection. */
     boolean isContinuation() {
         return status == OK;
     }
 
-    /** Whether the connection stands at the end of this answer, so that the next one can be told from it. */
+    /** Whether the response was read to a framed end, so that the connection can carry another exchange. */
     boolean isReusable() {
-        return readWhole && framed;
+        return complete && framed;
     }
 
-    /** Reads no more, whatever comes. */
+    /** Stops reading from the connection. */
     void suspend() {
         channel.suspendReads();
     }
 
-    /** Reads what there is; waits for more by the channel's read listener. */
+    /** Reads the available bytes without blocking; the channel's read listener is called when more arrive. */
     Progress read() {
         delivery.head(status, headers);
         try (PooledByteBuffer pooled = connector.bufferPool().allocate()) {
             ByteBuffer buffer = pooled.getBuffer();
-            for (int reads = 0; reads < READS_IN_A_ROW; reads++) {
+            for (int reads = 0; reads < MAX_CONSECUTIVE_READS; reads++) {
                 buffer.clear();
                 int count = channel.read(buffer);
                 if (count < 0) {
@@ -118,75 +118,78 @@
         }
     }
 
-    /** False where the answer grows too large. */
+    /** Returns false if the response exceeds its maximum size. */
     private boolean accept(ByteBuffer buffer) {
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
-        answerBytes += bytes.length;
-        if (answerBytes > connector.options().maxAnswerBytes()) {
+        receivedBytes += bytes.length;
+        if (receivedBytes > connector.options().maxAnswerBytes()) {
             return false;
         }
-        switch (manner) {
-            case STREAMED -> delivery.stream(bytes);
-            case WHOLE, MAY_REFUSE -> delivery.hold(bytes);
-            case PASSED -> delivery.pass(bytes);
+        switch (deliveryMode) {
+            case STREAMED -> delivery.acceptStream(bytes);
+            case BUFFERED, MAY_REFUSE -> delivery.buffer(bytes);
+            case PASSED_THROUGH -> delivery.passThrough(bytes);
         }
         return true;
     }
 
     private Progress ended() {
-        readWhole = (framed || protocol.endsWithConnection()) && isStreamWhole();
-        if (!readWhole) {
+        complete = (framed || protocol.endsWithConnection()) && isStreamComplete();
+        if (!complete) {
             return Progress.BROKEN;
         }
-        if (manner == Manner.MAY_REFUSE
-                && !delivery.hasBegun()
-                && protocol.refusals().saysNotStarted(status, headers, delivery.heldBytes())) {
+        if (deliveryMode == DeliveryMode.MAY_REFUSE
+                && !delivery.hasDelivered()
+                && protocol.refusals().saysNotStarted(status, headers, delivery.bufferedBytes())) {
             return Progress.NOT_STARTED;
         }
-        if (isStopping()) {
+        if (isEngineShuttingDown()) {
             return Progress.BROKEN;
         }
-        delivery.end(manner == Manner.WHOLE);
+        delivery.end(deliveryMode == DeliveryMode.BUFFERED);
         return Progress.WHOLE;
     }
 
     /**
-     * Whether an engine's HTTP server answered in place of the engine, as one that shuts down does: 503 without a word.
-     * Passed on, the caller would get an empty answer to a request that another engine could have served.
+     * Whether the engine's HTTP server responded instead of the engine: during shutdown it sends a 503 without a body.
+     * Delivering it would give the caller an empty response to a request that another engine could have served.
      */
-    private boolean isStopping() {
-        return fromEngine && manner == Manner.MAY_REFUSE && !delivery.hasBegun() && delivery.heldBytes().length == 0;
+    private boolean isEngineShuttingDown() {
+        return fromEngine
+                && deliveryMode == DeliveryMode.MAY_REFUSE
+                && !delivery.hasDelivered()
+                && delivery.bufferedBytes().length == 0;
     }
 
-    /** A stream that stops in the middle of an event is not whole, however its connection ended. */
-    private boolean isStreamWhole() {
-        if (manner != Manner.STREAMED) {
+    /** A stream that stops within an event is incomplete, even if its connection was closed properly. */
+    private boolean isStreamComplete() {
+        if (deliveryMode != DeliveryMode.STREAMED) {
             return true;
         }
-        return protocol.forwarding() ? delivery.heldBytes().length == 0 : delivery.hasEndMark();
+        return protocol.forwarding() ? delivery.bufferedBytes().length == 0 : delivery.hasEndMark();
     }
 
-    /** An answer of another request, or one that names none where each must, as a late second answer. */
+    /** Whether the response carries another request's id, or none where the protocol requires one. */
     private boolean isCrossed(AttemptSpec spec) {
         if (echoedId != null) {
             return !echoedId.equals(spec.requestId());
         }
-        return protocol.idNeeded() && !protocol.refusals().saysNotStarted(status, headers, new byte[0]);
+        return protocol.idRequired() && !protocol.refusals().saysNotStarted(status, headers, new byte[0]);
     }
 
-    private Manner manner(AttemptSpec spec) {
+    private DeliveryMode deliveryMode(AttemptSpec spec) {
         if (protocol.refusals().mayRefuse(status)) {
-            return Manner.MAY_REFUSE;
+            return DeliveryMode.MAY_REFUSE;
         }
         boolean events = headers.getOrDefault("content-type", "").startsWith(EVENT_STREAM);
         if (protocol.forwarding()) {
-            return events ? Manner.STREAMED : Manner.PASSED;
+            return events ? DeliveryMode.STREAMED : DeliveryMode.PASSED_THROUGH;
         }
         if (!spec.isEngineCall() || status != OK) {
-            return Manner.PASSED;
+            return DeliveryMode.PASSED_THROUGH;
         }
-        return events ? Manner.STREAMED : Manner.WHOLE;
+        return events ? DeliveryMode.STREAMED : DeliveryMode.BUFFERED;
     }
 
     private static boolean isFramed(TargetCall call, int status, HeaderMap received) {
@@ -197,22 +200,22 @@
                 || status == 304;
     }
 
-    /** How an answer goes out. */
-    private enum Manner {
-        /** Event by event. */
+    /** How a response is delivered. */
+    private enum DeliveryMode {
+        /** In complete events. */
         STREAMED,
-        /** At its end. */
-        WHOLE,
-        /** At its end, unless it is a refusal. */
+        /** Once it is complete. */
+        BUFFERED,
+        /** Once it is complete, unless it is a rejection. */
         MAY_REFUSE,
-        /** As it comes. */
-        PASSED
+        /** As it arrives. */
+        PASSED_THROUGH
     }
 
-    /** What a read has come to. */
+    /** The result of a read. */
     enum Progress {
         MORE,
-        /** There is more to read at once, but it is the other connections' turn. */
+        /** More bytes may be available; the read was interrupted in favor of other connections. */
         AGAIN,
         WHOLE,
         NOT_STARTED,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/SseScanner.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/SseScanner.java
@@ -6,14 +6,13 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads along with a stream of server-sent events, without changing it: counts its data chunks and sees its end.
+ * Scans a stream of server-sent events without modifying it: counts data chunks and detects the end mark.
  *
- * <p>Bytes may be split anywhere. A line is gathered up to {@link #MAX_LINE_BYTES}; the rest of a longer one is passed
- * over, so that memory stays bounded, and it still counts as a chunk. An event is whole once the empty line after it
- * has come.
+ * <p>Bytes may be split anywhere. At most {@link #MAX_LINE_BYTES} of a line are kept, to bound memory; a longer line is
+ * truncated and still counts as a chunk. An event is complete once the empty line after it has been received.
  *
- * <p>Each data chunk counts as one output token until a chunk with a usage object names the number, which then holds.
- * The two differ where an engine sends a first chunk that has only a role, or several tokens in one.
+ * <p>Each data chunk counts as one output token until a chunk with a usage object reports the number, which then takes
+ * precedence. The two differ if an engine sends a first chunk that has only a role, or several tokens in one chunk.
  */
 final class SseScanner {
     static final int MAX_LINE_BYTES = 16 << 10;
@@ -25,57 +24,57 @@
     private static final String USAGE = "\"usage\"";
 
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(INITIAL_LINE_BYTES);
-    private long wholeChunks;
-    private long unfinishedChunks;
+    private long completeChunks;
+    private long pendingChunks;
     private boolean done;
     private TokenUsage usage = TokenUsage.NONE;
     private String eventId = "";
     private String lastEventId = "";
 
-    /** Returns how many of the bytes, with what came before, end with a whole event. */
+    /** Returns the number of leading bytes up to the end of the last complete event; 0 if no event ends in them. */
     int scan(byte[] bytes) {
-        int wholeEvents = 0;
+        int completeEventBytes = 0;
         for (int i = 0; i < bytes.length; i++) {
             if (bytes[i] != '\n') {
-                gather(bytes[i]);
+                append(bytes[i]);
             } else if (endLine()) {
-                wholeEvents = i + 1;
+                completeEventBytes = i + 1;
             }
         }
-        return wholeEvents;
+        return completeEventBytes;
     }
 
-    /** Whether the stream's end mark has come. */
+    /** Whether the stream's end mark has been received. */
     boolean isDone() {
         return done;
     }
 
-    /** Data chunks in whole events so far. */
-    long wholeChunks() {
-        return wholeChunks;
+    /** Number of data chunks in complete events so far. */
+    long completeChunks() {
+        return completeChunks;
     }
 
-    /** The id of the last whole event, empty where no event had one. */
+    /** The most recent id as of the last complete event; empty if no event had one. */
     String lastEventId() {
         return lastEventId;
     }
 
     long outputTokens() {
-        return usage.isKnown() ? usage.outputTokens() : wholeChunks;
+        return usage.isKnown() ? usage.outputTokens() : completeChunks;
     }
 
-    /** The last usage that the stream named; {@link TokenUsage#NONE} before. */
+    /** The last usage that the stream reported; {@link TokenUsage#NONE} before the first. */
     TokenUsage usage() {
         return usage;
     }
 
-    /** Forgets the event that has begun and not ended. */
-    void dropUnfinished() {
+    /** Drops an event that has begun but is not complete. */
+    void discardIncomplete() {
         line.reset();
-        unfinishedChunks = 0;
+        pendingChunks = 0;
     }
 
-    private void gather(byte next) {
+    private void append(byte next) {
         if (line.size() < MAX_LINE_BYTES) {
             line.write(next);
         }
@@ -86,25 +85,25 @@
         String text = line.toString(StandardCharsets.UTF_8).strip();
         line.reset();
         if (text.isEmpty()) {
-            wholeChunks += unfinishedChunks;
-            unfinishedChunks = 0;
+            completeChunks += pendingChunks;
+            pendingChunks = 0;
             lastEventId = eventId;
             return true;
         }
         if (text.startsWith(DATA)) {
-            takeData(text.substring(DATA.length()).strip());
+            onData(text.substring(DATA.length()).strip());
         } else if (text.startsWith(ID)) {
             eventId = text.substring(ID.length()).strip();
         }
         return false;
     }
 
-    private void takeData(String data) {
+    private void onData(String data) {
         if (data.equals(DONE)) {
             done = true;
             return;
         }
-        unfinishedChunks++;
+        pendingChunks++;
         if (data.contains(USAGE)) {
             readUsage(data);
         }
@@ -112,9 +111,9 @@
 
     private void readUsage(String data) {
         try {
-            usage = TokenUsage.in(JSON.readTree(data)).orElse(usage);
+            usage = TokenUsage.parse(JSON.readTree(data)).orElse(usage);
         } catch (IOException e) {
-            // A chunk that cannot be read says nothing of the usage: what was known before stands.
+            // A malformed chunk reports no usage; the previous one is kept.
             return;
         }
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetAddress.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetAddress.java
@@ -3,7 +3,7 @@
 import java.net.URI;
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
-/** Where a target listens. */
+/** Host and port on which a target listens. */
 record TargetAddress(String host, int port) {
     static TargetAddress of(TargetSettings target) {
         return new TargetAddress(target.host(), target.port());
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetClientOptions.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetClientOptions.java
@@ -5,12 +5,13 @@
 /**
  * Limits of the connections to targets.
  *
- * @param connectTimeoutMs after it a connect counts as refused
- * @param idleAgeMs how long a connection may lie unused before it is closed rather than used again
- * @param serviceIdleAgeMs the same for calls to plain services, many of which may not be repeated
- * @param maxIdlePerTarget how many unused connections are kept for each target
- * @param maxOpenPerTarget how many connections may be open to each target; beyond it an attempt is refused
- * @param maxAnswerBytes the largest answer taken from a target
+ * @param connectTimeoutMs time after which an attempt to connect counts as refused
+ * @param idleAgeMs idle time after which a connection is closed instead of reused
+ * @param serviceIdleAgeMs idle time up to which a connection is reused for a call to a plain service; shorter, since
+ *     many such calls must not be repeated
+ * @param maxIdlePerTarget maximum number of idle connections per target
+ * @param maxOpenPerTarget maximum number of open connections per target; further attempts are refused
+ * @param maxAnswerBytes maximum size of a response from a target
  */
 public record TargetClientOptions(
         long connectTimeoutMs,
@@ -40,7 +41,7 @@
                 connectTimeoutMs, idleAgeMs, serviceIdleAgeMs, maxIdlePerTarget, maxOpenPerTarget, value);
     }
 
-    /** How long a connection may have lain unused before an attempt uses it. */
+    /** Maximum idle time of a connection that the attempt may reuse. */
     long idleAgeMs(AttemptSpec spec) {
         return spec.call().kind() == TargetKind.PLAIN_SERVICE ? serviceIdleAgeMs : idleAgeMs;
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetConnector.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetConnector.java
@@ -19,7 +19,7 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** Opens connections to targets and keeps the unused ones. */
+/** Opens connections to targets and pools idle ones. */
 final class TargetConnector {
     private static final int READ_BUFFER_BYTES = 16 << 10;
     private static final OptionMap CONNECT_OPTIONS = OptionMap.builder()
@@ -46,12 +46,12 @@
         this.pool = new ConnectionPool(options, metrics);
     }
 
-    /** Milliseconds of a clock that never goes back; its zero means nothing. */
+    /** Monotonic time in milliseconds with an arbitrary origin. */
     long nowMs() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
-    /** A name for a request that no other process and no earlier run gives. */
+    /** Creates a request id that is unique across processes and restarts. */
     String nextId() {
         return idPrefix + lastId.incrementAndGet();
     }
@@ -90,13 +90,14 @@
     }
 
     /**
-     * Closes a connection at once, whatever it carries; on its IO thread.
+     * Closes the connection immediately, aborting any exchange. Must be called on its I/O thread.
      *
-     * <p>{@link ClientConnection#close()} is too gentle for a running exchange: it leaves the request's conduit in
-     * place, through which no FIN goes out, and drains the answer for 10 s. The target would work on for nobody that
-     * long. Taking the connection over as for an upgrade puts the plain conduits back, and closing those ends it.
+     * <p>{@link ClientConnection#close()} does not end a running exchange: it leaves the request's conduit installed,
+     * which sends no FIN, and drains the response for 10 s, during which the target continues the request without
+     * a caller. Taking the connection over as for an upgrade restores the plain conduits; closing these ends the
+     * exchange.
      */
-    static void cut(ClientConnection connection) {
+    static void abort(ClientConnection connection) {
         try {
             IoUtils.safeClose(connection.performUpgrade());
         } catch (IOException e) {
@@ -104,7 +105,7 @@
         }
     }
 
-    /** Opens a connection; the listener is called on the thread, with null where the target refused or was too slow. */
+    /** Opens a connection; calls the listener on the thread, with null if the target refused or timed out. */
     void connect(TargetAddress address, XnioIoThread thread, ConnectListener listener) {
         if (!pool.reserve(address)) {
             listener.onConnect(null);
@@ -113,8 +114,8 @@
         AtomicBoolean settled = new AtomicBoolean();
         IoFuture<ClientConnection> connecting =
                 UndertowClient.getInstance().connect(address.toUri(), thread, bufferPool, CONNECT_OPTIONS);
-        // A target whose host is gone answers a connect with nothing at all; without this limit the attempt would wait
-        // for the system's own, which is minutes. The late connection is closed should it still come.
+        // A host that is down does not respond to a connect at all; without this limit the attempt would wait for the
+        // operating system's timeout, which is minutes. A connection that opens after the timeout is closed.
         XnioExecutor.Key timeout = thread.executeAfter(
                 () -> settle(settled, null, listener), options.connectTimeoutMs(), TimeUnit.MILLISECONDS);
         connecting.addNotifier(
@@ -129,7 +130,7 @@
         if (settled.compareAndSet(false, true)) {
             listener.onConnect(connection);
         } else if (connection != null) {
-            cut(connection);
+            abort(connection);
         }
     }
 
@@ -153,7 +154,7 @@
         }
     }
 
-    /** Takes the new connection, or null. */
+    /** Receives the new connection, or null. */
     interface ConnectListener {
         void onConnect(@Nullable ClientConnection connection);
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetMetrics.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetMetrics.java
@@ -8,24 +8,24 @@
 import org.marjoramswitch.daemon.target.AttemptSpec.Purpose;
 import org.marjoramswitch.kernel.model.TargetOutcome;
 
-/** What the connections to targets count. */
+/** Metrics of the connections and attempts to targets. */
 final class TargetMetrics {
     final Counter connectionsOpened;
     final Counter connectionsReused;
-    /** Closed because something on them was cut, timed out, cancelled or crossed. */
+    /** Connections closed after a failed, timed out, cancelled or crossed exchange. */
     final Counter connectionsDiscarded;
-    /** Closed unused, of age or for want of room. */
+    /** Idle connections closed because of their age, a full pool or suspected failure. */
     final Counter connectionsExpired;
-    /** Pooled connections found dead with nothing sent, so that a fresh one was tried. */
+    /** Pooled connections found closed before anything was sent, so that a new one was opened. */
     final Counter connectionsFoundDead;
-    /** Answers that bore another request's id. */
+    /** Responses that carried another request's id, or none where one is required. */
     final Counter answersCrossed;
 
-    /** Answers that went on over another connection. */
+    /** Responses resumed over another connection. */
     final Counter answersResumed;
-    /** Sequence numbers missing between two answers with cache events. */
+    /** Cache events that were missed, by their sequence numbers, or malformed. */
     final Counter cacheEventGaps;
-    /** Targets whose cache events began anew, as after a restart. */
+    /** Resets of a target's cache event sequence, as after a restart. */
     final Counter cacheEventRestarts;
 
     private final Map<Purpose, Map<TargetOutcome, Counter>> ends = new EnumMap<>(Purpose.class);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetProtocol.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetProtocol.java
@@ -5,19 +5,20 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * How targets are spoken to and their answers judged; what runs behind the instance decides it.
+ * Conventions for calls to targets and for interpreting their responses; depends on the kind of deployment.
  *
- * @param idHeader names a request at the target and in its answer; in lower case
- * @param idNeeded whether an answer without that header is nobody's
- * @param forwarding whether calls and answers pass unchanged, with the caller's own host name and no end mark in streams
- * @param endsWithConnection whether an answer without a length is whole when its connection ends in order
- * @param refusals judges whether an answer says that the request was not executed
- * @param headers what is set on a call beside the headers that go on
- * @param notices reads what a target says of itself beside its answers
+ * @param idHeader header that carries the request id in calls and responses; in lower case
+ * @param idRequired whether a response without that header is rejected as crossed
+ * @param forwarding whether calls and responses are forwarded unchanged, with the caller's Host header and without
+ *     an end mark in streams
+ * @param endsWithConnection whether a response without framing is complete when its connection is closed properly
+ * @param refusals determines whether a response reports that the request was not started
+ * @param headers headers set on a call in addition to the forwarded ones
+ * @param notices reads status notices of a target from response heads
  */
 public record TargetProtocol(
         String idHeader,
-        boolean idNeeded,
+        boolean idRequired,
         boolean forwarding,
         boolean endsWithConnection,
         RefusalRule refusals,
@@ -25,22 +26,22 @@
         NoticeReader notices) {
     private static final String REQUEST_ID = "x-request-id";
 
-    /** The product's own: model engines that speak the OpenAI-compatible protocol, and plain services. */
-    public static TargetProtocol own() {
+    /** The default protocol: OpenAI-compatible model engines and plain services. */
+    public static TargetProtocol defaults() {
         return new TargetProtocol(
                 REQUEST_ID,
                 false,
                 false,
                 false,
                 RefusalRule.explicit(),
-                (target, call, leftMs) -> Map.of(),
-                NoticeReader.SILENT);
+                (target, call, remainingMs) -> Map.of(),
+                NoticeReader.NONE);
     }
 
-    /** Gives the headers of a call that is about to be sent. */
+    /** Supplies the headers of a call that is about to be sent. */
     @FunctionalInterface
     public interface HeaderSource {
-        /** @param leftMs until the caller waits no longer; 0 where it did not say */
-        Map<String, String> of(TargetSettings target, TargetCall call, long leftMs);
+        /** @param remainingMs time until the caller's timeout; 0 if it set none */
+        Map<String, String> of(TargetSettings target, TargetCall call, long remainingMs);
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetQuery.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetQuery.java
@@ -16,59 +16,63 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 import org.xnio.XnioIoThread;
 
-/** A question of the router's own to a target: a GET answered by a small JSON object. */
+/** A query by the router itself to a target: a GET whose response is a small JSON object. */
 final class TargetQuery implements AttemptListener {
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** A larger answer is cut off, and so unreadable. */
-    private static final int MAX_ANSWER_BYTES = 1 << 20;
+    /** Larger responses are truncated and therefore unreadable. */
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
-    private final Consumer<Answer> listener;
+    private final Consumer<Response> listener;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private int status;
 
-    private TargetQuery(Consumer<Answer> listener) {
+    private TargetQuery(Consumer<Response> listener) {
         this.listener = listener;
     }
 
-    /** Asks over a pooled connection where there is one; the listener is called once, on an IO thread. */
-    static void ask(
-            TargetConnector connector, TargetSettings target, String path, long timeoutMs, Consumer<Answer> listener) {
+    /** Uses a pooled connection if one is available; calls the listener once, on an I/O thread. */
+    static void send(
+            TargetConnector connector,
+            TargetSettings target,
+            String path,
+            long timeoutMs,
+            Consumer<Response> listener) {
         HttpAttempt.start(connector, spec(connector, target, "GET", path, timeoutMs), new TargetQuery(listener));
     }
 
-    /** Asks over a new connection; the listener is called once, on the thread. */
-    static void askFresh(
+    /** Uses a new connection; calls the listener once, on the given thread. */
+    static void sendFresh(
             TargetConnector connector,
             TargetSettings target,
             String path,
             long timeoutMs,
             XnioIoThread thread,
-            Consumer<Answer> listener) {
+            Consumer<Response> listener) {
         HttpAttempt.startFresh(
                 connector, spec(connector, target, "GET", path, timeoutMs), new TargetQuery(listener), thread);
     }
 
-    /** Tells the target something by an empty POST over a new connection, once; the answer means nothing. */
-    static void tell(
+    /** Sends an empty POST over a new connection, without retry; ignores the response. */
+    static void post(
             TargetConnector connector, TargetSettings target, String path, long timeoutMs, XnioIoThread thread) {
         AttemptSpec spec = spec(connector, target, "POST", path, timeoutMs);
-        HttpAttempt.startFresh(connector, spec, new TargetQuery(answer -> {}), thread);
+        HttpAttempt.startFresh(connector, spec, new TargetQuery(response -> {}), thread);
     }
 
     private static AttemptSpec spec(
             TargetConnector connector, TargetSettings target, String method, String path, long timeoutMs) {
         TargetCall call = TargetCall.of(TargetKind.MODEL_ENGINE, method, path, Map.of(), new byte[0], false);
-        return AttemptSpec.of(Purpose.QUESTION, target, call, connector.nextId(), timeoutMs, connector.protocol());
+        return AttemptSpec.of(Purpose.QUERY, target, call, connector.nextId(), timeoutMs, connector.protocol());
     }
 
     @Override
-    public void onHead(int answerStatus, Map<String, String> headers) {
-        status = answerStatus;
+    public void onHead(int responseStatus, Map<String, String> headers) {
+        status = responseStatus;
     }
 
     @Override
     public void onBytes(byte[] bytes) {
-        if (body.size() + bytes.length <= MAX_ANSWER_BYTES) {
+        if (body.size() + bytes.length <= MAX_RESPONSE_BYTES) {
             body.writeBytes(bytes);
         }
     }
@@ -78,9 +82,9 @@
 
     @Override
     public void onEnd(TargetOutcome outcome, Usage usage) {
-        boolean whole = outcome == TargetOutcome.COMPLETED;
-        listener.accept(
-                new Answer(whole, whole && status == 200 ? parse(body.toByteArray()) : MissingNode.getInstance()));
+        boolean complete = outcome == TargetOutcome.COMPLETED;
+        listener.accept(new Response(
+                complete, complete && status == 200 ? parse(body.toByteArray()) : MissingNode.getInstance()));
     }
 
     private static JsonNode parse(byte[] bytes) {
@@ -92,10 +96,10 @@
     }
 
     /**
-     * How a question ended.
+     * Result of a query.
      *
-     * @param isWhole whether the target answered at all, with whatever status
-     * @param json what it said; a missing node where it said nothing that can be read
+     * @param isComplete whether the target sent a complete response, with any status
+     * @param json body of a response with status 200; a missing node if there is none or it is unreadable
      */
-    record Answer(boolean isWhole, JsonNode json) {}
+    record Response(boolean isComplete, JsonNode json) {}
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/TokenUsage.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/TokenUsage.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.util.Optional;
 
-/** The usage object of an OpenAI-compatible answer. */
+/** Token counts from the usage object of an OpenAI-compatible response. */
 record TokenUsage(long promptTokens, long cachedPromptTokens, long outputTokens) {
     static final TokenUsage NONE = new TokenUsage(0, 0, 0);
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -14,9 +14,9 @@
         return outputTokens > 0 || promptTokens > 0;
     }
 
-    /** The answer's usage, or empty where it has none. */
-    static Optional<TokenUsage> in(JsonNode answer) {
-        JsonNode usage = answer.path("usage");
+    /** Returns the response's usage, or empty if it has none. */
+    static Optional<TokenUsage> parse(JsonNode response) {
+        JsonNode usage = response.path("usage");
         if (!usage.isObject()) {
             return Optional.empty();
         }
@@ -26,10 +26,10 @@
                 atLeastZero(usage.path("completion_tokens"))));
     }
 
-    /** The usage in a whole JSON answer, {@link #NONE} where there is none or it cannot be read. */
-    static TokenUsage inBody(byte[] body) {
+    /** Returns the usage in a JSON response body; {@link #NONE} if there is none or the body is malformed. */
+    static TokenUsage parseBody(byte[] body) {
         try {
-            return in(JSON.readTree(body)).orElse(NONE);
+            return parse(JSON.readTree(body)).orElse(NONE);
         } catch (IOException e) {
             return NONE;
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/UndertowTargetClient.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/UndertowTargetClient.java
@@ -13,28 +13,28 @@
 import org.xnio.XnioWorker;
 
 /**
- * Sends calls to targets through Undertow's client, over pooled connections. What each failure comes to is told in
- * {@link HttpAttempt}.
+ * Sends calls to targets with Undertow's client, over pooled connections. {@link HttpAttempt} describes the handling of
+ * failures.
  */
 public final class UndertowTargetClient implements TargetClient, AutoCloseable {
     private static final long SWEEP_EVERY_MS = 1_000;
 
     private final TargetConnector connector;
-    private final XnioExecutor.Key sweeping;
+    private final XnioExecutor.Key sweepTimer;
 
     private UndertowTargetClient(TargetConnector connector, XnioWorker worker) {
         this.connector = connector;
-        this.sweeping = worker.getIoThread()
+        this.sweepTimer = worker.getIoThread()
                 .executeAtInterval(
                         () -> connector.pool().sweep(connector.nowMs()), SWEEP_EVERY_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Uses the worker's IO threads and no thread of its own. */
+    /** Uses the worker's I/O threads and starts none. */
     public static UndertowTargetClient start(XnioWorker worker, TargetClientOptions options, MetricRegistry registry) {
-        return start(worker, options, TargetProtocol.own(), registry);
+        return start(worker, options, TargetProtocol.defaults(), registry);
     }
 
-    /** As the other {@code start}, for targets that speak another protocol than the product's own. */
+    /** Starts a client for targets that use the given protocol. */
     public static UndertowTargetClient start(
             XnioWorker worker, TargetClientOptions options, TargetProtocol protocol, MetricRegistry registry) {
         TargetConnector connector = new TargetConnector(worker, options, protocol, TargetMetrics.in(registry));
@@ -56,14 +56,14 @@
         return connector;
     }
 
-    /** Closes the unused connections; running attempts go on to their end. */
+    /** Closes idle connections; running attempts continue to their end. */
     @Override
     public void close() {
-        sweeping.remove();
+        sweepTimer.remove();
         connector.pool().closeIdle();
     }
 
-    /** The id that the call bears, which a plain service's caller may have set, or a new one. */
+    /** Returns the id in the call's headers, which a caller of a plain service may have set, or a new one. */
     private String requestId(TargetCall call) {
         for (Map.Entry<String, String> header : call.headers().entrySet()) {
             if (header.getKey().equalsIgnoreCase(connector.protocol().idHeader())) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/package-info.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/package-info.java
@@ -1,4 +1,4 @@
-/** Attempts at targets over HTTP: pooled connections, deadlines, outcomes, and the targets' own reports. */
+/** HTTP client for targets: pooled connections, deadlines, attempt outcomes and load reports. */
 @NullMarked
 package org.marjoramswitch.daemon.target;
 
--- a/daemon/src/test/java/org/marjoramswitch/daemon/target/EngineStallPolicyTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/target/EngineStallPolicyTest.java
@@ -12,43 +12,43 @@
     }
 
     @Test
-    void progressIsWaitedForWithoutEnd() {
-        EngineStallPolicy patience = EngineStallPolicy.of(false);
+    void waitsAsLongAsEngineReportsProgress() {
+        EngineStallPolicy policy = EngineStallPolicy.of(false);
         for (int tokens = 1; tokens < 100; tokens++) {
-            assertEquals(Verdict.WAIT, patience.judge(state(Phase.RUNNING, tokens), 0));
+            assertEquals(Verdict.WAIT, policy.evaluate(state(Phase.RUNNING, tokens), 0));
         }
     }
 
     @Test
-    void engineThatSaysQueuedForEverIsGivenUp() {
-        EngineStallPolicy patience = EngineStallPolicy.of(true);
-        for (int silence = 1; silence < EngineStallPolicy.MAX_STALLS; silence++) {
-            assertEquals(Verdict.WAIT, patience.judge(state(Phase.QUEUED, 0), 0));
+    void givesUpOnRequestThatStaysQueued() {
+        EngineStallPolicy policy = EngineStallPolicy.of(true);
+        for (int timeout = 1; timeout < EngineStallPolicy.MAX_STALLS; timeout++) {
+            assertEquals(Verdict.WAIT, policy.evaluate(state(Phase.QUEUED, 0), 0));
         }
-        assertEquals(Verdict.GIVE_UP, patience.judge(state(Phase.QUEUED, 0), 0));
+        assertEquals(Verdict.GIVE_UP, policy.evaluate(state(Phase.QUEUED, 0), 0));
     }
 
     @Test
-    void connectionIsBlamedTheSecondTimeOnly() {
-        EngineStallPolicy patience = EngineStallPolicy.of(true);
-        assertEquals(Verdict.WAIT_BRIEFLY, patience.judge(state(Phase.RUNNING, 10), 4));
-        assertEquals(Verdict.LEAVE_CONNECTION, patience.judge(state(Phase.RUNNING, 20), 4));
+    void abandonsConnectionOnlyOnSecondSuspicion() {
+        EngineStallPolicy policy = EngineStallPolicy.of(true);
+        assertEquals(Verdict.WAIT_BRIEFLY, policy.evaluate(state(Phase.RUNNING, 10), 4));
+        assertEquals(Verdict.LEAVE_CONNECTION, policy.evaluate(state(Phase.RUNNING, 20), 4));
     }
 
     @Test
-    void engineThatCannotSayIsWaitedForLongerOnWholeAnswersOnly() {
-        assertEquals(Verdict.GIVE_UP, EngineStallPolicy.of(true).judge(state(Phase.NOT_TOLD, 0), 0));
-        EngineStallPolicy patience = EngineStallPolicy.of(false);
-        for (int silence = 1; silence < EngineStallPolicy.MAX_UNTOLD; silence++) {
-            assertEquals(Verdict.WAIT, patience.judge(state(Phase.NOT_TOLD, 0), 0));
+    void waitsLongerForUnreportedStateOnlyWithoutStreaming() {
+        assertEquals(Verdict.GIVE_UP, EngineStallPolicy.of(true).evaluate(state(Phase.NOT_TOLD, 0), 0));
+        EngineStallPolicy policy = EngineStallPolicy.of(false);
+        for (int timeout = 1; timeout < EngineStallPolicy.MAX_UNREPORTED_STALLS; timeout++) {
+            assertEquals(Verdict.WAIT, policy.evaluate(state(Phase.NOT_TOLD, 0), 0));
         }
-        assertEquals(Verdict.GIVE_UP, patience.judge(state(Phase.NOT_TOLD, 0), 0));
+        assertEquals(Verdict.GIVE_UP, policy.evaluate(state(Phase.NOT_TOLD, 0), 0));
     }
 
     @Test
-    void lostRequestIsGivenUpAtOnce() {
+    void givesUpOnLostRequestImmediately() {
         for (Phase phase : new Phase[] {Phase.UNKNOWN, Phase.UNREACHABLE, Phase.CANCELLED}) {
-            assertEquals(Verdict.GIVE_UP, EngineStallPolicy.of(true).judge(state(phase, 0), 0));
+            assertEquals(Verdict.GIVE_UP, EngineStallPolicy.of(true).evaluate(state(phase, 0), 0));
         }
     }
 }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/target/SseScannerTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/target/SseScannerTest.java
@@ -19,35 +19,35 @@
     }
 
     @Test
-    void streamIsReadAlikeHoweverItIsCut() {
+    void resultDoesNotDependOnWhereTheStreamIsSplit() {
         byte[] stream = bytes(STREAM);
-        for (int cut = 0; cut <= stream.length; cut++) {
+        for (int split = 0; split <= stream.length; split++) {
             SseScanner scanner = new SseScanner();
-            scanner.scan(Arrays.copyOfRange(stream, 0, cut));
-            scanner.scan(Arrays.copyOfRange(stream, cut, stream.length));
-            assertEquals(3, scanner.wholeChunks());
+            scanner.scan(Arrays.copyOfRange(stream, 0, split));
+            scanner.scan(Arrays.copyOfRange(stream, split, stream.length));
+            assertEquals(3, scanner.completeChunks());
             assertEquals(new TokenUsage(7, 3, 5), scanner.usage());
             assertTrue(scanner.isDone());
         }
     }
 
     @Test
-    void unfinishedEventCountsOnlyOnceItIsWhole() {
+    void incompleteEventIsNotCounted() {
         SseScanner scanner = new SseScanner();
-        int whole = scanner.scan(bytes("data: {}\n\ndata: {}\n"));
-        assertEquals("data: {}\n\n".length(), whole);
-        assertEquals(1, scanner.wholeChunks());
-        scanner.dropUnfinished();
+        int completeBytes = scanner.scan(bytes("data: {}\n\ndata: {}\n"));
+        assertEquals("data: {}\n\n".length(), completeBytes);
+        assertEquals(1, scanner.completeChunks());
+        scanner.discardIncomplete();
         scanner.scan(bytes("data: {}\n\n"));
-        assertEquals(2, scanner.wholeChunks());
+        assertEquals(2, scanner.completeChunks());
         assertFalse(scanner.isDone());
     }
 
     @Test
-    void lineBeyondTheLimitStillCounts() {
+    void lineBeyondTheLimitIsCounted() {
         SseScanner scanner = new SseScanner();
         scanner.scan(bytes("data: {\"x\":\"" + "y".repeat(2 * SseScanner.MAX_LINE_BYTES) + "\"}\n\ndata: [DONE]\n\n"));
-        assertEquals(1, scanner.wholeChunks());
+        assertEquals(1, scanner.completeChunks());
         assertTrue(scanner.isDone());
     }
 }
