--- a/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
@@ -98,7 +98,7 @@
         InstanceRegistration registration = parts.add(InstanceRegistration.start(store, local));
         parts.add(FleetListReader.start(store, LIST_PAUSE_MS, core.clock().startMs(), core.metrics(), list -> {
             core.onList(list);
-            registration.listed(list.instances().containsKey(local.instance()));
+            registration.onListRead(list.instances().containsKey(local.instance()));
         }));
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
@@ -16,9 +16,9 @@
 import org.marjoramswitch.daemon.core.EventRecorder;
 import org.marjoramswitch.daemon.core.KernelDriver;
 import org.marjoramswitch.daemon.exchange.TargetClient;
-import org.marjoramswitch.daemon.fleet.CrashStore;
 import org.marjoramswitch.daemon.fleet.CustomerSpread;
 import org.marjoramswitch.daemon.fleet.FleetDirectory;
+import org.marjoramswitch.daemon.fleet.PoisonRequestStore;
 import org.marjoramswitch.daemon.log.KeyValueLog;
 import org.marjoramswitch.daemon.membership.MembershipDuty;
 import org.marjoramswitch.daemon.peer.PeerLinks;
@@ -73,7 +73,7 @@
 
     private volatile Consumer<FleetView> onView = view -> {};
     /** Null only while the instance starts: it has sent no request yet. */
-    private volatile @Nullable CrashStore crashStore;
+    private volatile @Nullable PoisonRequestStore crashStore;
 
     private volatile long generation;
 
@@ -211,14 +211,15 @@
 
     /** From now on what is held against blocked requests is kept in the platform's service. */
     void keepCrashesIn(KeyValueStore store) {
-        CrashStore.Delay delay = (delayMs, task) -> worker.getIoThread().executeAfter(task, delayMs, MILLISECONDS);
-        crashStore = CrashStore.of(store, decisions, System::currentTimeMillis, delay);
+        PoisonRequestStore.Delay delay =
+                (delayMs, task) -> worker.getIoThread().executeAfter(task, delayMs, MILLISECONDS);
+        crashStore = PoisonRequestStore.of(store, decisions, System::currentTimeMillis, delay);
     }
 
     private void keepCrashes(Action.KeepCrashes kept) {
-        CrashStore current = crashStore;
+        PoisonRequestStore current = crashStore;
         if (current != null) {
-            current.keep(kept);
+            current.save(kept);
         }
     }
 
@@ -248,9 +249,9 @@
         }
         directory.setListed(list.instances());
         decisions.offer(new Event.TargetsLeaving(new TreeSet<>(list.leavingTargets())));
-        CrashStore crashes = crashStore;
+        PoisonRequestStore crashes = crashStore;
         if (crashes != null) {
-            crashes.listed(list.crashes());
+            crashes.onListRead(list.crashes());
         }
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/InstanceRegistration.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/InstanceRegistration.java
@@ -68,7 +68,7 @@
     }
 
     /** The list was read, and names this instance or does not; called by one thread. */
-    public void listed(boolean isNamed) {
+    public void onListRead(boolean isNamed) {
         boolean isLost = named && !isNamed;
         named = isNamed;
         if (isLost) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/CrashStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/PoisonRequestStore.java
@@ -24,8 +24,8 @@
  * for the case that all instances end together and start anew knowing nothing: a harmful request would end as many targets
  * again. Peers tell one another without it, so it may be late, and an entry that cannot be written for a while is given up.
  */
-public final class CrashStore {
-    private static final KeyValueLog LOG = KeyValueLog.of(CrashStore.class);
+public final class PoisonRequestStore {
+    private static final KeyValueLog LOG = KeyValueLog.of(PoisonRequestStore.class);
     /** Above the time that instances need to start anew; a longer block is written again with its next end. */
     private static final long LEASE_SECONDS = 600;
 
@@ -38,7 +38,7 @@
     private final Delay delay;
     private Set<ListedCrash> told = Set.of();
 
-    private CrashStore(KeyValueStore store, EventSink decisions, LongSupplier wallClockMs, Delay delay) {
+    private PoisonRequestStore(KeyValueStore store, EventSink decisions, LongSupplier wallClockMs, Delay delay) {
         this.store = store;
         this.decisions = decisions;
         this.wallClockMs = wallClockMs;
@@ -46,8 +46,9 @@
     }
 
     /** @param wallClockMs the time of day, which instances share roughly */
-    public static CrashStore of(KeyValueStore store, EventSink decisions, LongSupplier wallClockMs, Delay delay) {
-        return new CrashStore(store, decisions, wallClockMs, delay);
+    public static PoisonRequestStore of(
+            KeyValueStore store, EventSink decisions, LongSupplier wallClockMs, Delay delay) {
+        return new PoisonRequestStore(store, decisions, wallClockMs, delay);
     }
 
     /** Runs a task later; dropped where the instance has ended by then. */
@@ -57,7 +58,7 @@
     }
 
     /** Writes what is held against one request; never blocks. */
-    public void keep(Action.KeepCrashes kept) {
+    public void save(Action.KeepCrashes kept) {
         String key = FleetList.CRASHES_PREFIX + Long.toHexString(kept.digest());
         write(key, value(kept.crashes()), 1);
     }
@@ -66,7 +67,7 @@
      * The list was read; called by one thread. Each end is told once: a request that was served since would be blocked again
      * by what the list still says.
      */
-    public void listed(Set<ListedCrash> crashes) {
+    public void onListRead(Set<ListedCrash> crashes) {
         long nowMs = wallClockMs.getAsLong();
         List<RequestCrash> news = crashes.stream()
                 .filter(crash -> !told.contains(crash))
--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/TargetList.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/TargetList.java
@@ -25,7 +25,7 @@
  *
  * <p>A target whose entry says that it leaves, or whose entry is gone, gets no new request. While the service was away
  * entries lapse that their targets could not renew; a target that lives writes its own again soon after. So targets may
- * be kept for that time, see {@link LapsedTargets}.
+ * be kept for that time, see {@link MissingTargetPolicy}.
  */
 public final class TargetList implements AutoCloseable {
     private static final KeyValueLog LOG = KeyValueLog.of(TargetList.class);
@@ -82,7 +82,7 @@
                     }
 
                     @Override
-                    public boolean wantsReminder() {
+                    public boolean wantsRedelivery() {
                         return clockMs.getAsLong() < list.keepLapsedUntilMs + LAPSED_KEPT_MS;
                     }
 
@@ -132,7 +132,7 @@
         }
         noteDeparted(ready.keySet());
         if (nowMs < keepLapsedUntilMs) {
-            ready.putAll(LapsedTargets.kept(known, listed));
+            ready.putAll(MissingTargetPolicy.targetsToKeep(known, listed));
         }
         tell(ready);
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimDuty.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimLoop.java
@@ -15,8 +15,8 @@
 import org.marjoramswitch.kernel.error.ErrorType;
 
 /** The thread that groups claims, writes each group and tells what became of its claims. */
-final class ClaimDuty {
-    private static final KeyValueLog LOG = KeyValueLog.of(ClaimDuty.class);
+final class ClaimLoop {
+    private static final KeyValueLog LOG = KeyValueLog.of(ClaimLoop.class);
     private static final long IDLE_MS = 1_000;
     private static final long FIRST_BACKOFF_MS = 20;
     private static final long MAX_BACKOFF_MS = 1_000;
@@ -40,7 +40,7 @@
     private volatile boolean down;
     private volatile boolean closed;
 
-    private ClaimDuty(
+    private ClaimLoop(
             ClaimWriter writer,
             ClaimOptions options,
             MpscArrayQueue<PendingClaim> arrived,
@@ -59,7 +59,7 @@
         thread.setDaemon(true);
     }
 
-    static ClaimDuty of(
+    static ClaimLoop of(
             ClaimWriter writer,
             ClaimOptions options,
             MpscArrayQueue<PendingClaim> arrived,
@@ -67,7 +67,7 @@
             LongSupplier nowMs,
             ClaimLeases leases,
             long seed) {
-        return new ClaimDuty(writer, options, arrived, metrics, nowMs, leases, seed);
+        return new ClaimLoop(writer, options, arrived, metrics, nowMs, leases, seed);
     }
 
     void start() {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimStore.java
@@ -43,7 +43,7 @@
     private final InstanceId instance;
     private final long incarnation;
     private final LongSupplier nowMs;
-    private final ClaimDuty duty;
+    private final ClaimLoop duty;
     private final MpscArrayQueue<PendingClaim> arrived;
     private final AtomicInteger waiting = new AtomicInteger();
     private final AtomicLong lastClaim = new AtomicLong();
@@ -65,7 +65,7 @@
         this.metrics = ClaimMetrics.in(registry);
         ClaimLeases leases = ClaimLeases.of(options.retentionMs());
         ClaimWriter writer = ClaimWriter.of(store, batch, leases);
-        this.duty = ClaimDuty.of(writer, options, arrived, metrics, nowMs, leases, incarnation);
+        this.duty = ClaimLoop.of(writer, options, arrived, metrics, nowMs, leases, incarnation);
     }
 
     /** Starts the duty that writes the claims; {@code incarnation} must be new with each start of the instance. */
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/EtcdGatewayStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/EtcdGatewayStore.java
@@ -100,7 +100,7 @@
     @Override
     public CompletableFuture<KeyValueResult<Boolean>> revokeLease(long leaseId) {
         return this.<Boolean>write(REVOKE, GatewayCodec.leaseRequest(leaseId), body -> true)
-                .thenApply(result -> result.orWhereRejected(NOT_FOUND, false));
+                .thenApply(result -> result.replaceRejection(NOT_FOUND, false));
     }
 
     @Override
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/BaseKeyValueStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/ForwardingKeyValueStore.java
@@ -7,10 +7,10 @@
 import org.jspecify.annotations.Nullable;
 
 /** Hands every call to another store; what stands before one overrides the calls that it changes. */
-public class BaseKeyValueStore implements KeyValueStore {
+public class ForwardingKeyValueStore implements KeyValueStore {
     private final KeyValueStore store;
 
-    protected BaseKeyValueStore(KeyValueStore store) {
+    protected ForwardingKeyValueStore(KeyValueStore store) {
         this.store = store;
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayCaller.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayCaller.java
@@ -186,8 +186,8 @@
 
         @Override
         public void bytes(ByteBuffer bytes) {
-            if (body.size() + bytes.remaining() > runtime.options().maxAnswerBytes()) {
-                cut("the answer is larger than " + runtime.options().maxAnswerBytes() + " bytes");
+            if (body.size() + bytes.remaining() > runtime.options().maxResponseBytes()) {
+                cut("the answer is larger than " + runtime.options().maxResponseBytes() + " bytes");
                 return;
             }
             byte[] copy = new byte[bytes.remaining()];
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayWatch.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayWatch.java
@@ -246,8 +246,8 @@
                 line.reset();
                 receiveLine(whole);
             }
-            if (line.size() > runtime.options().maxAnswerBytes()) {
-                fail("a message is larger than " + runtime.options().maxAnswerBytes() + " bytes");
+            if (line.size() > runtime.options().maxResponseBytes()) {
+                fail("a message is larger than " + runtime.options().maxResponseBytes() + " bytes");
             }
         }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/KeyValueOptions.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/KeyValueOptions.java
@@ -4,7 +4,7 @@
  * How the client of the platform's service behaves.
  *
  * @param watchMaxAgeMs the longest one watch connection is trusted before a fresh one takes over from it
- * @param maxAnswerBytes the largest answer that is read
+ * @param maxResponseBytes the largest answer that is read
  * @param seed of the waits' jitter
  */
 public record KeyValueOptions(
@@ -13,9 +13,9 @@
         Pool pool,
         Backoff backoff,
         long watchMaxAgeMs,
-        int maxAnswerBytes,
+        int maxResponseBytes,
         long seed) {
-    private static final int MAX_ANSWER_BYTES = 64 << 20;
+    private static final int MAX_RESPONSE_BYTES = 64 << 20;
 
     /**
      * @param callMs the longest any call lasts, with its waits and second attempts
@@ -50,27 +50,27 @@
                 new Pool(4, 10_000),
                 new Backoff(50, 2_000),
                 3_000,
-                MAX_ANSWER_BYTES,
+                MAX_RESPONSE_BYTES,
                 seed);
     }
 
     public KeyValueOptions withTimeouts(long callMs, long attemptMs, long connectMs) {
         Timeouts changed = new Timeouts(callMs, attemptMs, connectMs);
-        return new KeyValueOptions(changed, budget, pool, backoff, watchMaxAgeMs, maxAnswerBytes, seed);
+        return new KeyValueOptions(changed, budget, pool, backoff, watchMaxAgeMs, maxResponseBytes, seed);
     }
 
     public KeyValueOptions withBudget(int callsPerSecond, int burstCalls) {
         Budget changed = new Budget(callsPerSecond, burstCalls);
-        return new KeyValueOptions(timeouts, changed, pool, backoff, watchMaxAgeMs, maxAnswerBytes, seed);
+        return new KeyValueOptions(timeouts, changed, pool, backoff, watchMaxAgeMs, maxResponseBytes, seed);
     }
 
     /** With other waits after failures. */
     public KeyValueOptions withBackoff(long firstMs, long maxMs) {
         Backoff changed = new Backoff(firstMs, maxMs);
-        return new KeyValueOptions(timeouts, budget, pool, changed, watchMaxAgeMs, maxAnswerBytes, seed);
+        return new KeyValueOptions(timeouts, budget, pool, changed, watchMaxAgeMs, maxResponseBytes, seed);
     }
 
     public KeyValueOptions withWatchMaxAge(long changedMs) {
-        return new KeyValueOptions(timeouts, budget, pool, backoff, changedMs, maxAnswerBytes, seed);
+        return new KeyValueOptions(timeouts, budget, pool, backoff, changedMs, maxResponseBytes, seed);
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/KeyValueResult.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/KeyValueResult.java
@@ -6,7 +6,7 @@
 public sealed interface KeyValueResult<T extends @Nullable Object> {
 
     /** This result, or the value as an answer where the service tells with a rejection of this status what it means. */
-    default KeyValueResult<T> orWhereRejected(int status, T value) {
+    default KeyValueResult<T> replaceRejection(int status, T value) {
         boolean meant = this instanceof Rejected<T> rejected && rejected.status() == status;
         return meant ? new Answered<>(value, 0) : this;
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/KeyValueStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/KeyValueStore.java
@@ -57,7 +57,7 @@
          * All changes up to this revision have been told; not every service tells it. Watchers that only follow the entries
          * pass it over.
          */
-        record Seen(long revision) implements WatchEvent {}
+        record Progress(long revision) implements WatchEvent {}
 
         record Broken() implements WatchEvent {}
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/PrefixFollower.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/PrefixFollower.java
@@ -54,7 +54,7 @@
         void onEntries(Collection<Entry> entries);
 
         /** Whether the entries are to be told once more in a moment, changed or not. */
-        default boolean wantsReminder() {
+        default boolean wantsRedelivery() {
             return false;
         }
 
@@ -167,7 +167,7 @@
 
         /** Takes an event in, on the watch's thread. Where the ring is full the prefix is read anew, so none is lost. */
         private void offer(WatchEvent event) {
-            if (event instanceof WatchEvent.Seen) {
+            if (event instanceof WatchEvent.Progress) {
                 return;
             }
             if (event instanceof WatchEvent.Broken || !events.offer(event)) {
@@ -178,7 +178,7 @@
 
         /** Waits for changes, or for the time of a reminder, and applies them; false once the watch is broken. */
         private boolean await() throws InterruptedException {
-            boolean reminded = listener.wantsReminder();
+            boolean reminded = listener.wantsRedelivery();
             long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REMIND_MS);
             while (events.isEmpty() && !broken && !(reminded && System.nanoTime() - deadlineNs >= 0)) {
                 park(reminded ? deadlineNs - System.nanoTime() : Long.MAX_VALUE);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/SharedWatchStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/SharedWatchStore.java
@@ -29,7 +29,7 @@
  * <p>A watch of a prefix that was not read whole before it goes to the service too: without the entries there is nothing
  * that peers' copies could be compared with.
  */
-public final class SharedWatchStore extends BaseKeyValueStore {
+public final class SharedWatchStore extends ForwardingKeyValueStore {
     private static final KeyValueLog LOG = KeyValueLog.of(SharedWatchStore.class);
     /** The beat of the readers; a wake-up of every instance, so no more often. */
     private static final long TICK_MS = 500;
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Shares the watches of a service that tells {@link WatchEvent.Seen}.
+     * Shares the watches of a service that tells {@link WatchEvent.Progress}.
      *
      * @param timer runs the ticks
      */
@@ -174,7 +174,7 @@
         if (ownWatches.get(prefix) != own) {
             return;
         }
-        if (event instanceof WatchEvent.Seen seen) {
+        if (event instanceof WatchEvent.Progress seen) {
             List<WatchedEntry> changes = List.copyOf(own.changes);
             own.changes.clear();
             sharing.onWatchUpdate(prefix, seen.revision(), changes, clockMs.getAsLong(), this::perform);
--- a/daemon/src/test/java/org/marjoramswitch/daemon/configuration/FakeStore.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/configuration/FakeStore.java
@@ -12,10 +12,10 @@
 import java.util.function.Supplier;
 import org.jspecify.annotations.Nullable;
 import org.marjoramswitch.daemon.platform.KeyValueResult;
-import org.marjoramswitch.daemon.platform.UnusedStore;
+import org.marjoramswitch.daemon.platform.UnsupportedStore;
 
 /** The platform's service in memory, with its failures; shared by all instances of a test. */
-final class FakeStore extends UnusedStore {
+final class FakeStore extends UnsupportedStore {
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private final List<Watcher> watchers = new ArrayList<>();
     private final List<WatchEvent> history = new ArrayList<>();
--- a/daemon/src/test/java/org/marjoramswitch/daemon/fleet/LapsedTargetsTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/fleet/MissingTargetPolicyTest.java
@@ -11,26 +11,26 @@
 import org.marjoramswitch.kernel.model.TargetId;
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
-class LapsedTargetsTest {
+class MissingTargetPolicyTest {
     private static final Map<TargetId, TargetSettings> KNOWN = known("a1", "a2", "a3", "a4", "b1", "b2");
 
     /** The service was away and every entry has lapsed: callers must still be served until they are back. */
     @Test
     void aPoolThatIsMissingAsAWholeIsKept() {
-        assertEquals(KNOWN, LapsedTargets.kept(KNOWN, Set.of()));
+        assertEquals(KNOWN, MissingTargetPolicy.targetsToKeep(KNOWN, Set.of()));
     }
 
     /** This instance alone was cut off: a target that left meanwhile gets no request after the list was read. */
     @Test
     void fewMissingTargetsHaveLeft() {
-        assertEquals(Map.of(), LapsedTargets.kept(KNOWN, ids("a1", "a2", "a3", "b1")));
+        assertEquals(Map.of(), MissingTargetPolicy.targetsToKeep(KNOWN, ids("a1", "a2", "a3", "b1")));
     }
 
     @Test
     void eachPoolIsJudgedByItself() {
         assertEquals(
                 Set.of(TargetId.of("b1"), TargetId.of("b2")),
-                LapsedTargets.kept(KNOWN, ids("a1", "a2", "a3")).keySet());
+                MissingTargetPolicy.targetsToKeep(KNOWN, ids("a1", "a2", "a3")).keySet());
     }
 
     private static Set<TargetId> ids(String... names) {
--- a/daemon/src/test/java/org/marjoramswitch/daemon/platform/PrefixFollowerTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/platform/PrefixFollowerTest.java
@@ -68,7 +68,7 @@
     }
 
     /** A service without entries, which can be away or cut its watches. */
-    private static final class ReadStore extends UnusedStore {
+    private static final class ReadStore extends UnsupportedStore {
         private final AtomicInteger reads = new AtomicInteger();
         private volatile boolean away;
         private volatile boolean cutsWatches;
--- a/daemon/src/test/java/org/marjoramswitch/daemon/platform/UnusedStore.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/platform/UnsupportedStore.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** A service of which a test uses a part: the calls that the test's own store does not override fail it. */
-public abstract class UnusedStore implements KeyValueStore {
+public abstract class UnsupportedStore implements KeyValueStore {
     @Override
     public CompletableFuture<KeyValueResult<@Nullable Entry>> get(String key) {
         throw new UnsupportedOperationException();
--- a/tool/src/test/java/org/marjoramswitch/tool/settings/FaultyStore.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/settings/FaultyStore.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import org.marjoramswitch.daemon.platform.BaseKeyValueStore;
+import org.marjoramswitch.daemon.platform.ForwardingKeyValueStore;
 import org.marjoramswitch.daemon.platform.KeyValueResult;
 import org.marjoramswitch.daemon.platform.KeyValueStore;
 
 /** A store whose first write goes wrong in a way of the test's choice. */
-final class FaultyStore extends BaseKeyValueStore {
+final class FaultyStore extends ForwardingKeyValueStore {
     private final FirstWrite firstWrite;
     private boolean written;
 
