--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/PoisonRequestStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/PoisonRequestStore.java
@@ -71,7 +71,8 @@
         long nowMs = wallClockMs.getAsLong();
         List<RequestCrash> news = crashes.stream()
                 .filter(crash -> !told.contains(crash))
-                .map(crash -> new RequestCrash(crash.digest(), crash.target(), Math.max(0, nowMs - crash.endedAtMs())))
+                .map(crash ->
+                        new RequestCrash(crash.digest(), crash.target(), Math.max(0, nowMs - crash.crashedAtMs())))
                 .toList();
         told = crashes;
         if (!news.isEmpty()) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimLeases.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimLeases.java
@@ -5,12 +5,13 @@
 import java.util.Iterator;
 
 /**
- * The leases that this instance's claims hang on. A lease for each claim would double the writes, so all claims of some
- * minutes share one, which is never renewed: it lives half as long again as the retention and takes new claims for half
- * the retention, so the last claim that joins it is still kept for the whole retention. A claim outlives the instance
- * that made it, as it must: the caller may ask again after the instance died.
+ * Manages the leases to which this instance's claims are attached. One lease per claim would double the writes, so all
+ * claims of a few minutes share a lease, which is never renewed: its lifetime is 1.5 times the retention and it accepts
+ * new claims for half the retention, so the last claim attached to it is still kept for the full retention. A claim
+ * outlives the instance that made it, because the caller may retry after that instance has crashed.
  *
- * <p>A lease's end is counted from before its grant was sent, and a twentieth earlier against clocks of unequal speed.
+ * <p>A lease's end is counted from before its grant was sent. The requested TTL exceeds the counted lifetime by one
+ * twentieth, to allow for clock drift.
  */
 final class ClaimLeases {
     private static final int MS_PER_SECOND = 1_000;
@@ -27,29 +28,29 @@
         return new ClaimLeases(retentionMs);
     }
 
-    /** The time to live to ask for. */
+    /** The TTL to request for a new lease. */
     long ttlSeconds() {
-        long livedMs = retentionMs + retentionMs / 2;
-        return Math.max(1, (livedMs + marginMs(livedMs) + MS_PER_SECOND - 1) / MS_PER_SECOND);
+        long lifetimeMs = retentionMs + retentionMs / 2;
+        return Math.max(1, (lifetimeMs + marginMs(lifetimeMs) + MS_PER_SECOND - 1) / MS_PER_SECOND);
     }
 
-    /** The lease that a claim joins now, 0 where a new one is needed. */
-    long joinable(long nowMs) {
+    /** The id of the lease for new claims, 0 if a new lease is needed. */
+    long currentLeaseId(long nowMs) {
         Lease newest = leases.peekLast();
         return newest != null && nowMs - newest.sentAtMs <= retentionMs / 2 ? newest.id : 0;
     }
 
-    void granted(long leaseId, long sentAtMs) {
+    void onGranted(long leaseId, long sentAtMs) {
         leases.removeIf(lease -> endMs(lease) <= sentAtMs);
         leases.addLast(new Lease(leaseId, sentAtMs));
     }
 
-    /** Forgets a lease that the service does not know any more. */
-    void lapsed(long leaseId) {
+    /** Discards a lease that no longer exists in the store. */
+    void onExpired(long leaseId) {
         leases.removeIf(lease -> lease.id == leaseId);
     }
 
-    /** Until when an entry on this lease certainly exists; 0 for a lease of another holder. */
+    /** Time until which an entry attached to this lease is guaranteed to exist; 0 for a lease of another holder. */
     long endMs(long leaseId) {
         for (Iterator<Lease> newestFirst = leases.descendingIterator(); newestFirst.hasNext(); ) {
             Lease lease = newestFirst.next();
@@ -64,8 +65,8 @@
         return lease.sentAtMs + retentionMs + retentionMs / 2;
     }
 
-    private static long marginMs(long livedMs) {
-        return livedMs / CLOCK_MARGIN_DIVISOR;
+    private static long marginMs(long lifetimeMs) {
+        return lifetimeMs / CLOCK_MARGIN_DIVISOR;
     }
 
     private record Lease(long id, long sentAtMs) {}
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimLoop.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimLoop.java
@@ -14,28 +14,28 @@
 import org.marjoramswitch.daemon.platform.KeyValueStore.Entry;
 import org.marjoramswitch.kernel.error.ErrorType;
 
-/** The thread that groups claims, writes each group and tells what became of its claims. */
+/** Event loop that groups claims, writes each group in one transaction and completes its claims. */
 final class ClaimLoop {
     private static final KeyValueLog LOG = KeyValueLog.of(ClaimLoop.class);
     private static final long IDLE_MS = 1_000;
     private static final long FIRST_BACKOFF_MS = 20;
     private static final long MAX_BACKOFF_MS = 1_000;
-    private static final int MAX_LEFTOVERS = 4_096;
+    private static final int MAX_ORPHANS = 4_096;
 
     private final ClaimWriter writer;
     private final ClaimOptions options;
     private final MpscArrayQueue<PendingClaim> arrived;
-    private final MpscArrayQueue<Leftover> released = new MpscArrayQueue<>(MAX_LEFTOVERS);
+    private final MpscArrayQueue<OrphanedEntry> released = new MpscArrayQueue<>(MAX_ORPHANS);
     private final ClaimMetrics metrics;
     private final LongSupplier nowMs;
     private final Random random;
-    private final TokenBucket writes;
+    private final TokenBucket writeBudget;
     private final ClaimQueue queue = ClaimQueue.create();
-    private final Deque<Leftover> leftovers = new ArrayDeque<>();
+    private final Deque<OrphanedEntry> orphans = new ArrayDeque<>();
     private final ClaimLeases leases;
     private final Thread thread = new Thread(this::run, "claims");
     private int failures;
-    private long pausedUntilMs;
+    private long backoffUntilMs;
     private long failingSinceMs;
     private volatile boolean down;
     private volatile boolean closed;
@@ -55,7 +55,7 @@
         this.nowMs = nowMs;
         this.leases = leases;
         this.random = new Random(seed);
-        this.writes = TokenBucket.full(options.writesPerSecond(), options.burstWrites(), nowMs.getAsLong());
+        this.writeBudget = TokenBucket.full(options.writesPerSecond(), options.burstWrites(), nowMs.getAsLong());
         thread.setDaemon(true);
     }
 
@@ -78,20 +78,20 @@
         return closed;
     }
 
-    /** Whether the service has failed for so long that a claim has little to hope for. */
+    /** Whether writes have failed for at least half the time that a claim may wait. */
     boolean isDown() {
         return down;
     }
 
-    /** Tells the duty that something was put into its ring. */
+    /** Wakes the thread after an offer to its ring. */
     void wake() {
         LockSupport.unpark(thread);
     }
 
-    /** Has an entry deleted, when there is time, where it is still the given claim's. */
-    void takeBack(String key, String claimId) {
-        // Where the ring is full the entry stays until its lease ends, which is safe.
-        released.offer(new Leftover(key, claimId));
+    /** Requests deletion of an entry if it still belongs to the given claim; done while no claims wait. */
+    void release(String key, String claimId) {
+        // If the ring is full, the entry stays until its lease expires, which is safe.
+        released.offer(new OrphanedEntry(key, claimId));
         wake();
     }
 
@@ -103,21 +103,21 @@
     private void run() {
         try {
             while (!closed) {
-                turn(nowMs.getAsLong());
+                runOnce(nowMs.getAsLong());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
             closed = true;
             arrived.drain(queue::add);
-            queue.removeExpired(Long.MAX_VALUE).forEach(claim -> giveUp(claim, "the instance is stopping"));
+            queue.removeExpired(Long.MAX_VALUE).forEach(claim -> abandon(claim, "the instance is stopping"));
         }
     }
 
-    private void turn(long now) throws InterruptedException {
+    private void runOnce(long now) throws InterruptedException {
         arrived.drain(queue::add);
-        released.drain(this::addLeftover);
-        queue.removeExpired(now).forEach(claim -> giveUp(claim, "the platform's service did not answer in time"));
+        released.drain(this::addOrphan);
+        queue.removeExpired(now).forEach(claim -> abandon(claim, "the platform's service did not answer in time"));
         long waitMs = waitMs(now);
         if (waitMs > 0) {
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(waitMs));
@@ -126,20 +126,20 @@
             }
             return;
         }
-        writes.tryTake(now);
+        writeBudget.tryTake(now);
         if (queue.isEmpty()) {
-            takeBackOne(now);
+            releaseOne(now);
             return;
         }
         writeGroup(now);
     }
 
-    /** How long until there is something to write and leave to write it. */
+    /** Time until there is something to write and both the rate limit and the backoff permit it; 0 if now. */
     private long waitMs(long now) {
-        if (queue.isEmpty() && leftovers.isEmpty()) {
+        if (queue.isEmpty() && orphans.isEmpty()) {
             return IDLE_MS;
         }
-        long permittedMs = Math.max(writes.waitMs(now), pausedUntilMs - now);
+        long permittedMs = Math.max(writeBudget.waitMs(now), backoffUntilMs - now);
         if (queue.isEmpty()) {
             return permittedMs;
         }
@@ -152,15 +152,15 @@
         List<PendingClaim> group = queue.group(options.maxGroup());
         ClaimGroupResult result = writer.write(group, now);
         if (result instanceof ClaimGroupResult.Decided decided) {
-            succeeded();
+            onSuccess();
             metrics.groupWritten(group.size());
             for (int i = 0; i < group.size(); i++) {
-                decide(group.get(i), decided.before().get(i), decided.leaseId());
+                decide(group.get(i), decided.existing().get(i), decided.leaseId());
             }
         } else if (result instanceof ClaimGroupResult.Uncertain uncertain) {
             metrics.groupUncertain();
             group.forEach(PendingClaim::markUncertain);
-            failed(group, uncertain.reason());
+            onFailure(group, uncertain.reason());
         } else if (result instanceof ClaimGroupResult.NotWritten notWritten) {
             retryOrPause(group, notWritten);
         } else if (result instanceof ClaimGroupResult.Refused refused) {
@@ -169,8 +169,8 @@
     }
 
     private void retryOrPause(List<PendingClaim> group, ClaimGroupResult.NotWritten notWritten) {
-        if (!notWritten.atOnce()) {
-            failed(group, notWritten.reason());
+        if (!notWritten.retryNow()) {
+            onFailure(group, notWritten.reason());
         }
     }
 
@@ -180,45 +180,45 @@
                 before == null || ClaimWriter.isClaim(before, first.value().claimId());
         if (own) {
             long endMs = leases.endMs(before == null ? leaseId : before.leaseId());
-            end(first, new ClaimResult.Claimed(first.key(), first.value(), endMs));
+            complete(first, new ClaimResult.Claimed(first.key(), first.value(), endMs));
         }
         Optional<ClaimValue> holder =
                 own ? Optional.of(first.value()) : ClaimValue.parse(before == null ? "" : before.value());
         claims.stream()
                 .filter(claim -> !own || claim != first)
-                .forEach(claim -> end(claim, new ClaimResult.HeldBy(holder)));
+                .forEach(claim -> complete(claim, new ClaimResult.HeldBy(holder)));
     }
 
     private void refuse(List<PendingClaim> group, String reason) {
         for (PendingClaim claim : group) {
-            queue.remove(claim.key()).forEach(refused -> giveUp(refused, reason));
+            queue.remove(claim.key()).forEach(refused -> abandon(refused, reason));
         }
     }
 
-    private void giveUp(PendingClaim claim, String reason) {
+    private void abandon(PendingClaim claim, String reason) {
         if (claim.isUncertain()) {
-            addLeftover(new Leftover(claim.key(), claim.value().claimId()));
+            addOrphan(new OrphanedEntry(claim.key(), claim.value().claimId()));
         }
-        end(claim, ClaimStore.notClaimed(reason));
+        complete(claim, ClaimStore.notClaimed(reason));
     }
 
-    private void end(PendingClaim claim, ClaimResult result) {
-        metrics.ended(result);
+    private void complete(PendingClaim claim, ClaimResult result) {
+        metrics.completed(result);
         claim.result().complete(result);
     }
 
-    private void succeeded() {
+    private void onSuccess() {
         failures = 0;
-        pausedUntilMs = 0;
+        backoffUntilMs = 0;
         down = false;
     }
 
-    private void failed(List<PendingClaim> group, String reason) {
+    private void onFailure(List<PendingClaim> group, String reason) {
         long now = nowMs.getAsLong();
         if (failures == 0) {
             failingSinceMs = now;
         }
-        pause(now);
+        backOff(now);
         down = failures > 1 && now - failingSinceMs >= options.waitMs() / 2;
         LOG.warn(
                 "claim_group_failed",
@@ -232,29 +232,29 @@
                 reason);
     }
 
-    private void pause(long now) {
+    private void backOff(long now) {
         long boundMs = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS << Math.min(failures, Byte.SIZE));
         failures++;
-        pausedUntilMs = now + 1 + (long) (random.nextDouble() * boundMs);
+        backoffUntilMs = now + 1 + (long) (random.nextDouble() * boundMs);
     }
 
-    private void addLeftover(Leftover leftover) {
-        if (leftovers.size() >= MAX_LEFTOVERS) {
-            leftovers.removeFirst();
+    private void addOrphan(OrphanedEntry orphan) {
+        if (orphans.size() >= MAX_ORPHANS) {
+            orphans.removeFirst();
         }
-        leftovers.addLast(leftover);
+        orphans.addLast(orphan);
     }
 
-    private void takeBackOne(long now) throws InterruptedException {
-        Leftover leftover = leftovers.getFirst();
-        if (!writer.takeBack(leftover.key(), leftover.claimId())) {
-            pause(now);
+    private void releaseOne(long now) throws InterruptedException {
+        OrphanedEntry orphan = orphans.getFirst();
+        if (!writer.release(orphan.key(), orphan.claimId())) {
+            backOff(now);
             return;
         }
-        leftovers.removeFirst();
-        metrics.takenBack();
+        orphans.removeFirst();
+        metrics.released();
     }
 
-    /** An entry that may exist and that no request uses. */
-    private record Leftover(String key, String claimId) {}
+    /** An entry that may exist in the store although no request uses it. */
+    private record OrphanedEntry(String key, String claimId) {}
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimMetrics.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimMetrics.java
@@ -4,14 +4,14 @@
 import com.codahale.metrics.Meter;
 import com.codahale.metrics.MetricRegistry;
 
-/** The counts of claims by their end, and the sizes of their groups. */
+/** Counts claims by result, and records the sizes of their groups. */
 final class ClaimMetrics {
     private final Meter claimed;
     private final Meter held;
     private final Meter notClaimed;
     private final Meter overflowed;
     private final Meter uncertainGroups;
-    private final Meter takenBack;
+    private final Meter released;
     private final Histogram groupSizes;
 
     private ClaimMetrics(MetricRegistry registry) {
@@ -20,7 +20,7 @@
         this.notClaimed = registry.meter("platform.claims.not-claimed");
         this.overflowed = registry.meter("platform.claims.overflowed");
         this.uncertainGroups = registry.meter("platform.claims.uncertain-groups");
-        this.takenBack = registry.meter("platform.claims.taken-back");
+        this.released = registry.meter("platform.claims.taken-back");
         this.groupSizes = registry.histogram("platform.claims.group-size");
     }
 
@@ -28,7 +28,7 @@
         return new ClaimMetrics(registry);
     }
 
-    void ended(ClaimResult result) {
+    void completed(ClaimResult result) {
         if (result instanceof ClaimResult.Claimed) {
             claimed.mark();
         } else if (result instanceof ClaimResult.HeldBy) {
@@ -50,7 +50,7 @@
         uncertainGroups.mark();
     }
 
-    void takenBack() {
-        takenBack.mark();
+    void released() {
+        released.mark();
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimOptions.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimOptions.java
@@ -1,15 +1,15 @@
 package org.marjoramswitch.daemon.platform;
 
 /**
- * How callers' own keys are claimed.
+ * Options for claiming callers' Idempotency-Keys.
  *
- * @param retentionMs how long a key is remembered at least, counted from its claim
- * @param waitMs how long a claim may wait for the platform's service before it is given up
- * @param writesPerSecond the transactions that this instance may send a second for claims
- * @param burstWrites the transactions that it may send at once after a quiet time
+ * @param retentionMs minimum time for which a key stays claimed, counted from its claim
+ * @param waitMs maximum time that a claim waits for the platform's key-value store before it is abandoned
+ * @param writesPerSecond maximum rate of this instance's claim transactions
+ * @param burstWrites maximum number of transactions in a burst after an idle period
  * @param groupWindowMs how long the first claim of a group waits for others
- * @param maxGroup the most claims in one transaction
- * @param maxWaiting the most claims that may wait; one more is refused
+ * @param maxGroup maximum number of claims in one transaction
+ * @param maxWaiting maximum number of waiting claims; further ones are rejected
  */
 public record ClaimOptions(
         long retentionMs,
@@ -19,7 +19,7 @@
         long groupWindowMs,
         int maxGroup,
         int maxWaiting) {
-    /** Ten minutes' retention; 10 writes a second, which is 90 over nine instances. */
+    /** Retention of 10 minutes; 10 writes per second, which is 90 over nine instances. */
     public static ClaimOptions defaults() {
         return new ClaimOptions(600_000, 3_000, 10, 20, 2, KeyValueBatch.MAX_KEYS, 1_024);
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimQueue.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimQueue.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * The claims that wait, by key in the order of arrival. Of several claims on one key only the first is written; the
- * others take their answer from it, so a caller that repeats one key many times cannot crowd out other keys.
+ * Queue of waiting claims, grouped by key in order of arrival. Of several claims on one key only the first is written;
+ * its result decides the others, so a caller that repeats one key many times can't starve other keys.
  */
 final class ClaimQueue {
     private final Map<String, Deque<PendingClaim>> byKey = new LinkedHashMap<>();
@@ -38,13 +38,13 @@
         return byKey.values().stream().limit(limit).map(Deque::getFirst).toList();
     }
 
-    /** Takes all claims on a key out, the first one first. */
+    /** Removes and returns all claims on a key, in order of arrival. */
     List<PendingClaim> remove(String key) {
         Deque<PendingClaim> claims = byKey.remove(key);
         return claims == null ? List.of() : List.copyOf(claims);
     }
 
-    /** Takes out the claims whose deadline has come. */
+    /** Removes and returns the claims whose deadline has passed. */
     List<PendingClaim> removeExpired(long nowMs) {
         List<PendingClaim> expired = new ArrayList<>();
         for (Iterator<Deque<PendingClaim>> keys = byKey.values().iterator(); keys.hasNext(); ) {
@@ -59,7 +59,7 @@
         return expired;
     }
 
-    /** The earliest deadline, {@code Long.MAX_VALUE} where nothing waits. */
+    /** The earliest deadline, {@code Long.MAX_VALUE} if the queue is empty. */
     long earliestDeadlineMs() {
         return byKey.values().stream()
                 .mapToLong(claims -> claims.getFirst().deadlineMs())
@@ -67,7 +67,7 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** When the longest waiting claim arrived, {@code Long.MAX_VALUE} where nothing waits. */
+    /** The arrival time of the oldest claim, {@code Long.MAX_VALUE} if the queue is empty. */
     long earliestArrivalMs() {
         return byKey.values().stream()
                 .mapToLong(claims -> claims.getFirst().arrivedMs())
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimResult.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimResult.java
@@ -3,21 +3,21 @@
 import java.util.Optional;
 import org.marjoramswitch.kernel.error.Failure;
 
-/** What became of an attempt to claim a caller's key. */
+/** Result of an attempt to claim a caller's key. */
 public sealed interface ClaimResult {
 
     /**
      * The key belongs to this request.
      *
-     * @param key of the claim's entry
-     * @param usableUntilMs the request's first byte may not go to a target after this time: an entry that was paused
-     *     longer may have lost the claim to another
+     * @param key the key of the claim's entry in the store
+     * @param usableUntilMs the first byte of the request must not be sent to a target after this time: an entry
+     *     instance that was paused for longer may have lost the claim to another one
      */
     record Claimed(String key, ClaimValue value, long usableUntilMs) implements ClaimResult {}
 
-    /** The key belongs to another request, whose entry is to be asked; empty where the entry cannot be read. */
+    /** The key belongs to another request, named by {@code holder}; empty if the stored claim cannot be parsed. */
     record HeldBy(Optional<ClaimValue> holder) implements ClaimResult {}
 
-    /** The key was not claimed, and this request will not be run: the failure says so. */
+    /** The key was not claimed and this request will not run, as the failure states. */
     record NotClaimed(Failure failure) implements ClaimResult {}
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimStore.java
@@ -12,28 +12,30 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * Claims callers' own Idempotency-Keys for requests that may not be repeated.
+ * Claims callers' Idempotency-Keys for requests that must not be repeated.
  *
- * <p>A key is claimed by creating {@code claims/<customer>/<sha-256 of the key>} where it does not exist. The entry
- * names the request and the instance that has it, so whoever finds the key held knows whom to ask. Only a request whose
- * claim was answered with {@link ClaimResult.Claimed} may run; since the service creates an entry once, at most one
- * request runs for a key while the entry exists.
+ * <p>A key is claimed by creating {@code claims/<customer>/<sha-256 of the key>} if it does not exist. The entry names
+ * the request and its instance, so a later request with the key knows which instance to query. A request may run only
+ * if its claim completed with {@link ClaimResult.Claimed}; since the store creates an entry once, at most one request
+ * runs for a key while the entry exists.
  *
- * <p>Claims are written in groups: one transaction for all that wait, at most some a second. It is a transaction of
- * nested ones, in which each key is created or read for itself, so a conflict on one key hinders no other, and the
- * holder of a conflicting key comes back in the same answer.
+ * <p>Claims are written in groups: one transaction for all waiting claims, at a limited rate. Each key has a nested
+ * transaction that creates or reads it independently, so a conflict on one key does not affect the others, and the
+ * holder of a conflicting key is part of the same response.
  *
- * <p>A lost answer is settled by writing the same group again: a claim that took effect is found as an entry with this
- * claim's own id, one that did not is created now. Should the first write arrive after the second, it finds the entry
- * and changes nothing. While no answer comes, the claim waits until its deadline and is then given up as
- * {@link ClaimResult.NotClaimed}. That refusal is true whatever became of the write, because this instance then never
- * runs the request. What the write may have left behind is taken back when the service answers again; until then, or
- * until its lease ends, another request with this key finds it held, asks this instance, and hears "not run".
+ * <p>After a lost response the same group is written again: a claim that took effect is found as an entry with this
+ * claim's id, any other one is created now. If the first write arrives after the second, it finds the entry and changes
+ * nothing. Without a response the claim waits until its deadline and is then abandoned as
+ * {@link ClaimResult.NotClaimed}. That rejection is correct whatever the outcome of the write, because this instance
+ * then never runs the request. An entry that the write may have left behind is deleted once the store responds again;
+ * until then, or until its lease expires, another request with this key finds it held, queries this instance, and
+ * receives "not run".
  *
- * <p>In a long outage no caller should wait for what has failed for others. Once writes have failed for half the time
- * that a claim may wait, one claim at a time waits and thereby tries the service; all others are refused at once.
+ * <p>In a long outage callers should not wait for what has already failed for others. Once writes have failed for half
+ * the time that a claim may wait, one claim at a time waits and thereby probes the store; all others are rejected
+ * immediately.
  *
- * <p>Cost: one call per group and one per lease, which is half the retention.
+ * <p>Cost: one call per group and one per lease, that is, one lease per half retention.
  */
 public final class ClaimStore implements AutoCloseable {
     private static final String PREFIX = "claims/";
@@ -43,7 +45,7 @@
     private final InstanceId instance;
     private final long incarnation;
     private final LongSupplier nowMs;
-    private final ClaimLoop duty;
+    private final ClaimLoop loop;
     private final MpscArrayQueue<PendingClaim> arrived;
     private final AtomicInteger waiting = new AtomicInteger();
     private final AtomicLong lastClaim = new AtomicLong();
@@ -65,10 +67,10 @@
         this.metrics = ClaimMetrics.in(registry);
         ClaimLeases leases = ClaimLeases.of(options.retentionMs());
         ClaimWriter writer = ClaimWriter.of(store, batch, leases);
-        this.duty = ClaimLoop.of(writer, options, arrived, metrics, nowMs, leases, incarnation);
+        this.loop = ClaimLoop.of(writer, options, arrived, metrics, nowMs, leases, incarnation);
     }
 
-    /** Starts the duty that writes the claims; {@code incarnation} must be new with each start of the instance. */
+    /** Starts the thread that writes the claims; {@code incarnation} must differ for each start of the instance. */
     public static ClaimStore start(
             KeyValueStore store,
             KeyValueBatch batch,
@@ -78,13 +80,13 @@
             MetricRegistry metrics,
             LongSupplier nowMs) {
         ClaimStore claims = new ClaimStore(store, batch, options, instance, incarnation, metrics, nowMs);
-        claims.duty.start();
+        claims.loop.start();
         return claims;
     }
 
     /**
-     * Claims a customer's key, given by its lower-case hex SHA-256, for a request. The future completes on the duty's thread, at the latest after the option
-     * {@code waitMs} and the longest time that a call to the service lasts.
+     * Claims a customer's key, given as lower-case hex SHA-256, for a request. The future completes on the claim loop's
+     * thread, at the latest after the option {@code waitMs} plus the maximum duration of a call to the store.
      */
     public CompletableFuture<ClaimResult> claim(CustomerId customer, String keyHash, String requestKey) {
         int others = waiting.getAndIncrement();
@@ -92,43 +94,43 @@
             metrics.overflowed();
             return refuse("too many claims wait");
         }
-        if (others > 0 && duty.isDown()) {
+        if (others > 0 && loop.isDown()) {
             return refuse("the platform's service is down");
         }
         long now = nowMs.getAsLong();
         PendingClaim claim = PendingClaim.of(
                 PREFIX + customer.name() + "/" + keyHash, valueOf(requestKey), now, now + options.waitMs());
         CompletableFuture<ClaimResult> result =
-                claim.result().whenComplete((done, failure) -> waiting.decrementAndGet());
-        // The ring holds as many as may wait, so it is never full here.
+                claim.result().whenComplete((completed, failure) -> waiting.decrementAndGet());
+        // The ring's capacity is maxWaiting, so it is never full here.
         arrived.offer(claim);
-        duty.wake();
-        if (duty.isClosed()) {
-            // The duty may have ended before it saw this claim, and would then never answer it.
+        loop.wake();
+        if (loop.isClosed()) {
+            // The loop may have exited before it received this claim and would then never complete it.
             claim.result().complete(notClaimed("the instance is stopping"));
         }
         return result;
     }
 
     /**
-     * Takes back the claim of a request that was certainly not run, so that its key may be used again. Without it the
-     * key stays held until its retention ends.
+     * Releases the claim of a request that certainly did not run, so that its key may be used again. Otherwise the key
+     * stays held until its lease expires.
      */
     public void release(ClaimResult.Claimed claimed) {
-        duty.takeBack(claimed.key(), claimed.value().claimId());
+        loop.release(claimed.key(), claimed.value().claimId());
     }
 
-    /** Ends the duty; claims that wait are given up. */
+    /** Stops the thread; waiting claims are abandoned. */
     @Override
     public void close() {
-        duty.close();
+        loop.close();
     }
 
     private CompletableFuture<ClaimResult> refuse(String reason) {
         waiting.decrementAndGet();
-        ClaimResult refusal = notClaimed(reason);
-        metrics.ended(refusal);
-        return CompletableFuture.completedFuture(refusal);
+        ClaimResult rejection = notClaimed(reason);
+        metrics.completed(rejection);
+        return CompletableFuture.completedFuture(rejection);
     }
 
     static ClaimResult.NotClaimed notClaimed(String reason) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimValue.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimValue.java
@@ -8,12 +8,12 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * What a claim's entry holds.
+ * Value of a claim's entry in the store.
  *
- * @param claimId unique among all claims ever made, so that a claim whose answer was lost knows its own entry
- * @param requestKey of the request that holds the caller's key
- * @param instance the entry of that request, which knows what became of it
- * @param incarnation of that instance
+ * @param claimId unique across all claims, so that a claim whose response was lost can recognize its own entry
+ * @param requestKey the key of the request that holds the caller's key
+ * @param instance the entry instance of that request, which knows its outcome
+ * @param incarnation the incarnation of that instance
  */
 public record ClaimValue(String claimId, String requestKey, InstanceId instance, long incarnation) {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -28,7 +28,7 @@
                 .toString();
     }
 
-    /** Empty where the text is no claim. */
+    /** Empty if the text is not a claim. */
     static Optional<ClaimValue> parse(String text) {
         try {
             JsonNode body = JSON.readTree(text);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimWriter.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimWriter.java
@@ -10,11 +10,11 @@
 import org.jspecify.annotations.Nullable;
 import org.marjoramswitch.daemon.platform.KeyValueStore.Entry;
 
-/** Writes groups of claims and takes single ones back; each call waits for the service's answer. */
+/** Writes groups of claims and releases single claims; each call blocks until the store responds. */
 final class ClaimWriter {
     private static final int LEASE_NOT_FOUND = 404;
     private static final int TOO_MANY_REQUESTS = 429;
-    private static final long ANSWER_LIMIT_MS = 30_000;
+    private static final long CALL_TIMEOUT_MS = 30_000;
 
     private final KeyValueStore store;
     private final KeyValueBatch batch;
@@ -31,20 +31,20 @@
     }
 
     ClaimGroupResult write(List<PendingClaim> group, long nowMs) throws InterruptedException {
-        long leaseId = leases.joinable(nowMs);
+        long leaseId = leases.currentLeaseId(nowMs);
         if (leaseId == 0) {
             KeyValueResult<Long> granted = await(store.grantLease(leases.ttlSeconds()));
             if (!(granted instanceof KeyValueResult.Answered<Long> answered)) {
                 return new ClaimGroupResult.NotWritten("no lease: " + granted, false);
             }
             leaseId = answered.value();
-            leases.granted(leaseId, nowMs);
+            leases.onGranted(leaseId, nowMs);
         }
         return createEach(group, leaseId);
     }
 
-    /** Deletes the entry where it is still the given claim's. */
-    boolean takeBack(String key, String claimId) throws InterruptedException {
+    /** Deletes the entry if it still belongs to the given claim; false if a call to the store failed. */
+    boolean release(String key, String claimId) throws InterruptedException {
         KeyValueResult<@Nullable Entry> read = await(store.get(key));
         if (!(read instanceof KeyValueResult.Answered<@Nullable Entry> answered)) {
             return false;
@@ -71,7 +71,7 @@
         if (result instanceof KeyValueResult.Answered<List<@Nullable Entry>> answered) {
             return answered.value().size() == group.size()
                     ? new ClaimGroupResult.Decided(answered.value(), leaseId)
-                    : new ClaimGroupResult.Uncertain("an answer for another number of claims");
+                    : new ClaimGroupResult.Uncertain("the response holds a different number of claims");
         }
         if (result instanceof KeyValueResult.Rejected<List<@Nullable Entry>> rejected) {
             return rejected(rejected.status(), rejected.reason(), leaseId);
@@ -84,8 +84,8 @@
 
     private ClaimGroupResult rejected(int status, String reason, long leaseId) {
         if (status == LEASE_NOT_FOUND) {
-            // The lease lapsed early, as after the service was restored; a new one is granted with the next attempt.
-            leases.lapsed(leaseId);
+            // The lease expired early, for example because the store was restored; the next attempt requests a new one.
+            leases.onExpired(leaseId);
             return new ClaimGroupResult.NotWritten(reason, true);
         }
         if (status == TOO_MANY_REQUESTS) {
@@ -97,7 +97,7 @@
     private static <T extends @Nullable Object> KeyValueResult<T> await(CompletableFuture<KeyValueResult<T>> call)
             throws InterruptedException {
         try {
-            return call.get(ANSWER_LIMIT_MS, TimeUnit.MILLISECONDS);
+            return call.get(CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException e) {
             return new KeyValueResult.OutcomeUnknown<>(String.valueOf(e.getCause()));
         } catch (TimeoutException e) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/EtcdGatewayStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/EtcdGatewayStore.java
@@ -14,9 +14,9 @@
 import org.xnio.XnioWorker;
 
 /**
- * The platform's service by the JSON gateway that etcd v3 publishes, over Undertow's client.
+ * Key-value store over the JSON gateway of etcd v3, using Undertow's client.
  *
- * <p>Results and each watch's events, in order, are delivered on the worker's task threads, see {@link StoreClient}.
+ * <p>Results, and each watch's events in order, are delivered on the worker's task threads, see {@link StoreClient}.
  */
 public final class EtcdGatewayStore implements KeyValueStore, KeyValueBatch {
     private static final String RANGE = "/v3/kv/range";
@@ -34,7 +34,7 @@
         this.client = client;
     }
 
-    /** A store over these addresses; connects with the first call. */
+    /** Creates a store over these addresses; connects on the first call. */
     public static EtcdGatewayStore start(
             List<HostPort> addresses, KeyValueOptions options, XnioWorker worker, MetricRegistry metrics) {
         return new EtcdGatewayStore(
@@ -42,7 +42,7 @@
                 StoreClient.start(addresses, options, worker, metrics, (body, headers) -> GatewayCodec.revision(body)));
     }
 
-    /** As above, with a clock of the caller's own. */
+    /** As above, with the given clock. */
     static EtcdGatewayStore start(
             List<HostPort> addresses,
             KeyValueOptions options,
@@ -77,7 +77,7 @@
     @Override
     public CompletableFuture<KeyValueResult<List<@Nullable Entry>>> createEach(
             Map<String, String> entries, long leaseId) {
-        return write(TXN, GatewayCodec.createEachRequest(entries, leaseId), GatewayCodec::createEachAnswer);
+        return write(TXN, GatewayCodec.createEachRequest(entries, leaseId), GatewayCodec::createEachResult);
     }
 
     @Override
@@ -96,7 +96,7 @@
                 body -> body.path("result").path("TTL").asLong());
     }
 
-    /** The value is false where there is no such lease any more. */
+    /** The value is false if the lease no longer exists. */
     @Override
     public CompletableFuture<KeyValueResult<Boolean>> revokeLease(long leaseId) {
         return this.<Boolean>write(REVOKE, GatewayCodec.leaseRequest(leaseId), body -> true)
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/FleetList.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/FleetList.java
@@ -8,14 +8,14 @@
 import org.marjoramswitch.kernel.model.TargetId;
 
 /**
- * The platform's list as it was last read; it lags behind what it lists.
+ * Snapshot of the platform's list, which lags behind the state that it describes.
  *
- * @param leavingTargets the targets that the list names as leaving; one that it does not name is no target of the fleet
- * @param crashes targets that ended under requests, written by the instances themselves
+ * @param leavingTargets targets listed as draining; a target that is not listed is not part of the fleet
+ * @param crashes crashes of targets under requests, written by the instances themselves
  */
 public record FleetList(
         Map<InstanceId, ListedInstance> instances, Set<TargetId> leavingTargets, Set<ListedCrash> crashes) {
-    /** Of keys that end in a request's digest, in hex. */
+    /** Prefix of keys that end with a request's digest in hex. */
     public static final String CRASHES_PREFIX = "list/crashes/";
 
     public static FleetList of(
@@ -28,19 +28,19 @@
     }
 
     /**
-     * A target that ended while it ran a request.
+     * Crash of a target while it ran a request.
      *
      * @param digest see {@link org.marjoramswitch.kernel.model.RequestSpec#digest}
-     * @param endedAtMs by the time of day of the instance that wrote it
+     * @param crashedAtMs wall-clock time of the instance that wrote it
      */
-    public record ListedCrash(long digest, TargetId target, long endedAtMs) {}
+    public record ListedCrash(long digest, TargetId target, long crashedAtMs) {}
 
     /**
-     * One listed instance.
+     * A listed instance.
      *
-     * @param callers where callers connect
-     * @param peers where peers connect
-     * @param leaving whether the platform is about to take the instance away
+     * @param callers the address to which callers connect
+     * @param peers the address to which peers connect
+     * @param leaving whether the platform is about to remove the instance
      */
     public record ListedInstance(HostPort callers, HostPort peers, DataCentreId dataCentre, boolean leaving) {}
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/FleetListParser.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/FleetListParser.java
@@ -20,12 +20,12 @@
 import org.marjoramswitch.kernel.model.TargetId;
 
 /**
- * Reads the list's entries: {@code list/instances/<id>} holds {@code callers}, {@code peers}, {@code dataCentre} and
+ * Parses the list's entries: {@code list/instances/<id>} holds {@code callers}, {@code peers}, {@code dataCentre} and
  * {@code state}, {@code list/targets/<id>} holds {@code state}; a state is {@code live} or {@code leaving}. {@code
  * list/crashes/<digest>} holds {@code ends}, each with {@code target} and {@code atMs}.
  *
- * <p>An entry that cannot be read says nothing. What the list said of that instance or target before stays in force, so
- * that a slip of the pen neither takes an instance out of the fleet nor makes a leaving target live again.
+ * <p>A malformed entry is ignored: the previous state of that instance or target stays in force, so that a typing error
+ * neither removes an instance from the fleet nor makes a draining target live again.
  */
 final class FleetListParser {
     static final String PREFIX = "list/";
@@ -37,23 +37,23 @@
     private static final int MAX_PORT = 65_535;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final FleetList before;
+    private final FleetList previous;
     private final Map<InstanceId, ListedInstance> instances = new HashMap<>();
     private final Set<TargetId> leavingTargets = new HashSet<>();
     private final Set<ListedCrash> crashes = new HashSet<>();
     private final List<Entry> malformed = new ArrayList<>();
 
-    private FleetListParser(FleetList before) {
-        this.before = before;
+    private FleetListParser(FleetList previous) {
+        this.previous = previous;
     }
 
-    /** What a read brought: the list, and the entries that could not be read. */
-    record Reading(FleetList list, List<Entry> malformed) {}
+    /** The parsed list and the entries that could not be parsed. */
+    record ParseResult(FleetList list, List<Entry> malformed) {}
 
-    static Reading parse(Collection<Entry> entries, FleetList before) {
-        FleetListParser parser = new FleetListParser(before);
+    static ParseResult parse(Collection<Entry> entries, FleetList previous) {
+        FleetListParser parser = new FleetListParser(previous);
         entries.forEach(parser::add);
-        return new Reading(
+        return new ParseResult(
                 FleetList.of(parser.instances, parser.leavingTargets, parser.crashes), List.copyOf(parser.malformed));
     }
 
@@ -70,13 +70,13 @@
     }
 
     private void addInstance(InstanceId id, Entry entry) {
-        Optional<ListedInstance> read = instance(body(entry));
-        if (read.isPresent()) {
-            instances.put(id, read.get());
+        Optional<ListedInstance> parsed = instance(body(entry));
+        if (parsed.isPresent()) {
+            instances.put(id, parsed.get());
             return;
         }
         malformed.add(entry);
-        ListedInstance known = before.instances().get(id);
+        ListedInstance known = previous.instances().get(id);
         if (known != null) {
             instances.put(id, known);
         }
@@ -87,7 +87,7 @@
         if (leaving.isEmpty()) {
             malformed.add(entry);
         }
-        if (leaving.orElse(before.leavingTargets().contains(id))) {
+        if (leaving.orElse(previous.leavingTargets().contains(id))) {
             leavingTargets.add(id);
         }
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/FleetListReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/FleetListReader.java
@@ -10,14 +10,14 @@
 import org.marjoramswitch.kernel.error.ErrorType;
 
 /**
- * The duty that follows the platform's list and hands on each list that differs from the one before.
+ * Follows the platform's list and passes each list that differs from the previous one to a listener.
  *
- * <p>It reads the list once and watches it from there; a watch brings a change at once and costs bytes for changes only,
- * where polling would carry the whole list each time. When the watch breaks, the list is read anew. While the service does
- * not answer, the last list stays in force.
+ * <p>Reads the list once and then watches it; a watch reports changes immediately and transfers changes only, whereas
+ * polling would transfer the complete list each time. When the watch breaks, the list is read again. While the store
+ * does not respond, the last list stays in force.
  */
 public final class FleetListReader implements AutoCloseable {
-    /** The usual pause between two readings, and after one that failed. */
+    /** Default pause between two reads, and after a failed one. */
     public static final long DEFAULT_PERIOD_MS = 2_000;
 
     private static final KeyValueLog LOG = KeyValueLog.of(FleetListReader.class);
@@ -37,14 +37,15 @@
     }
 
     /**
-     * Starts the duty; the listener is called on its thread.
+     * Starts to follow the list; the listener is called on the follower's thread.
      *
-     * @param periodMs the mean pause between two readings, see {@link PrefixFollower#start}
+     * @param periodMs the mean pause between two reads, see {@link PrefixFollower#start}
      */
     public static FleetListReader start(
             KeyValueStore store, long periodMs, long seed, MetricRegistry metrics, Consumer<FleetList> listener) {
         FleetListReader reader = new FleetListReader(metrics, listener);
-        reader.follower = PrefixFollower.start(store, FleetListParser.PREFIX, periodMs, seed, reader.entries());
+        reader.follower =
+                PrefixFollower.start(store, FleetListParser.PREFIX, periodMs, seed, reader.followerListener());
         return reader;
     }
 
@@ -55,7 +56,7 @@
         }
     }
 
-    private PrefixFollower.Listener entries() {
+    private PrefixFollower.Listener followerListener() {
         return new PrefixFollower.Listener() {
             @Override
             public void onEntries(Collection<Entry> entries) {
@@ -79,12 +80,12 @@
     }
 
     private void accept(Collection<Entry> entries) {
-        FleetListParser.Reading reading = FleetListParser.parse(entries, last == null ? FleetList.empty() : last);
-        reading.malformed().forEach(this::countMalformed);
-        if (reading.list().equals(last)) {
+        FleetListParser.ParseResult result = FleetListParser.parse(entries, last == null ? FleetList.empty() : last);
+        result.malformed().forEach(this::countMalformed);
+        if (result.list().equals(last)) {
             return;
         }
-        last = reading.list();
+        last = result.list();
         LOG.info(
                 "fleet_list_read",
                 "instances",
@@ -94,7 +95,7 @@
         listener.accept(last);
     }
 
-    /** Counts and logs each version of an entry once, not with each change of another one. */
+    /** Counts and logs each version of an entry once, not again when another entry changes. */
     private void countMalformed(Entry entry) {
         if (!logged.add(entry)) {
             return;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/ForwardingKeyValueStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/ForwardingKeyValueStore.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
 
-/** Hands every call to another store; what stands before one overrides the calls that it changes. */
+/** Forwards every call to another store; subclasses override the calls that they change. */
 public class ForwardingKeyValueStore implements KeyValueStore {
     private final KeyValueStore store;
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayAddresses.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayAddresses.java
@@ -6,9 +6,9 @@
 import org.marjoramswitch.daemon.settings.HostPort;
 
 /**
- * Which of the service's addresses the next call goes to. The address in use is kept while it answers; one that failed
- * rests for a random time below a bound that doubles with each failure (full jitter), so that instances that failed
- * together do not come back together.
+ * Selects the store address for the next call. The current address is kept while it responds; a failed one is backed
+ * off for a random time below a bound that doubles with each failure (full jitter), so that instances whose calls
+ * failed at the same time do not retry at the same time.
  */
 final class GatewayAddresses {
     private static final int MAX_DOUBLINGS = 16;
@@ -27,7 +27,7 @@
 
     static GatewayAddresses of(List<HostPort> addresses, KeyValueOptions options) {
         if (addresses.isEmpty()) {
-            throw new IllegalArgumentException("the platform's service has no address");
+            throw new IllegalArgumentException("no address of the platform's key-value store is configured");
         }
         return new GatewayAddresses(addresses, options);
     }
@@ -36,20 +36,20 @@
         return addresses.size();
     }
 
-    /** How long until some address may be tried, 0 where one may be now. */
+    /** Time until the next address may be tried, 0 if one may be tried now. */
     long waitMs(long nowMs) {
         long earliestMs = addresses.stream()
-                .mapToLong(health -> health.restsUntilMs)
+                .mapToLong(health -> health.backoffUntilMs)
                 .min()
                 .orElse(nowMs);
         return Math.max(0, earliestMs - nowMs);
     }
 
-    /** The address in use, or the next one that does not rest. */
+    /** The current address, or the next one that is not in backoff. */
     HostPort choose(long nowMs) {
         for (int step = 0; step < addresses.size(); step++) {
             int candidate = (current + step) % addresses.size();
-            if (addresses.get(candidate).restsUntilMs <= nowMs) {
+            if (addresses.get(candidate).backoffUntilMs <= nowMs) {
                 current = candidate;
                 break;
             }
@@ -60,20 +60,20 @@
     void succeeded(HostPort address) {
         Health health = find(address);
         health.failures = 0;
-        health.restsUntilMs = 0;
+        health.backoffUntilMs = 0;
     }
 
-    /** Lets the address rest. Calls in flight together that fail for one cause count as one failure. */
+    /** Backs the address off. Failures of concurrent calls with the same cause count as one. */
     void failed(HostPort address, long nowMs) {
         Health health = find(address);
-        if (health.restsUntilMs > nowMs) {
+        if (health.backoffUntilMs > nowMs) {
             return;
         }
-        health.restsUntilMs = nowMs + backoffMs(health.failures);
+        health.backoffUntilMs = nowMs + backoffMs(health.failures);
         health.failures++;
     }
 
-    /** A random wait after {@code failures} earlier failures, at least 1 ms. */
+    /** A random backoff after {@code failures} earlier failures, at least 1 ms. */
     long backoffMs(int failures) {
         long boundMs = Math.min(backoff.maxMs(), backoff.firstMs() << Math.min(failures, MAX_DOUBLINGS));
         return 1 + (long) (random.nextDouble() * boundMs);
@@ -89,7 +89,7 @@
     private static final class Health {
         private final HostPort address;
         private int failures;
-        private long restsUntilMs;
+        private long backoffUntilMs;
 
         private Health(HostPort address) {
             this.address = address;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayCall.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayCall.java
@@ -3,20 +3,20 @@
 import io.undertow.util.HeaderMap;
 import java.util.function.Consumer;
 
-/** One call on its way: what is sent, until when, and who hears its end. */
+/** A call in progress: its request, its deadline and the callback for its outcome. */
 final class GatewayCall {
 
-    /** How the call ended on the wire. */
+    /** Outcome of a call at the HTTP level. */
     sealed interface Outcome {
-        /** An answer was read whole. */
-        @SuppressWarnings("ArrayRecordComponent") // answers are never compared, and nobody else keeps the array
-        record Answer(int status, HeaderMap headers, byte[] body) implements Outcome {}
+        /** A complete response was received. */
+        @SuppressWarnings("ArrayRecordComponent") // responses are never compared, and the array is not shared
+        record Response(int status, HeaderMap headers, byte[] body) implements Outcome {}
 
-        /** No byte of the call left this process, or the service itself says that it did nothing. */
+        /** Nothing was sent, or the store reported that it did nothing. */
         record NotSent(String reason) implements Outcome {}
 
-        /** Part of the call may have left, and no whole answer came. */
-        record Cut(String reason) implements Outcome {}
+        /** Part of the request may have been sent, and no complete response was received. */
+        record Failed(String reason) implements Outcome {}
     }
 
     private final String method;
@@ -24,26 +24,27 @@
     private final String body;
     private final boolean once;
     private final long deadlineMs;
-    private final Consumer<Outcome> end;
-    private int limited;
+    private final Consumer<Outcome> onEnd;
+    private int rateLimited;
 
-    private GatewayCall(String method, String path, String body, boolean once, long deadlineMs, Consumer<Outcome> end) {
+    private GatewayCall(
+            String method, String path, String body, boolean once, long deadlineMs, Consumer<Outcome> onEnd) {
         this.method = method;
         this.path = path;
         this.body = body;
         this.once = once;
         this.deadlineMs = deadlineMs;
-        this.end = end;
+        this.onEnd = onEnd;
     }
 
-    /** A call that may be made again where no answer came. */
-    static GatewayCall repeatable(String method, String path, String body, long deadlineMs, Consumer<Outcome> end) {
-        return new GatewayCall(method, path, body, false, deadlineMs, end);
+    /** A call that may be sent again if no response was received. */
+    static GatewayCall repeatable(String method, String path, String body, long deadlineMs, Consumer<Outcome> onEnd) {
+        return new GatewayCall(method, path, body, false, deadlineMs, onEnd);
     }
 
-    /** A call whose first attempt has all the time there is, and of which no second is made once it may have arrived. */
-    static GatewayCall once(String method, String path, String body, long deadlineMs, Consumer<Outcome> end) {
-        return new GatewayCall(method, path, body, true, deadlineMs, end);
+    /** A call that is not sent again once it may have arrived; its attempt may take until the deadline. */
+    static GatewayCall once(String method, String path, String body, long deadlineMs, Consumer<Outcome> onEnd) {
+        return new GatewayCall(method, path, body, true, deadlineMs, onEnd);
     }
 
     String method() {
@@ -66,12 +67,12 @@
         return deadlineMs - nowMs;
     }
 
-    /** Counts an answer that said "too many requests" and returns how many there were before it. */
-    int countLimited() {
-        return limited++;
+    /** Counts a "too many requests" response and returns the number of earlier ones. */
+    int countRateLimited() {
+        return rateLimited++;
     }
 
-    void end(Outcome outcome) {
-        end.accept(outcome);
+    void complete(Outcome outcome) {
+        onEnd.accept(outcome);
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayCaller.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayCaller.java
@@ -10,14 +10,14 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Carries calls to the service and decides what a failure means for each.
+ * Sends calls to the store and decides how a failure affects each.
  *
- * <p>Reads are tried again elsewhere until their time is over. A write is tried again only while it is certain that
- * nothing of it was carried out: no connection was made, or the service said "too many requests". Once its first byte
- * may have left, a failure ends it as cut, because the service may carry it out now or later; a second attempt would
- * then answer for a state that the first one made.
+ * <p>Reads are retried at other addresses until their deadline. A write is retried only while it is certain that it had
+ * no effect: no connection was made, or the store responded "too many requests". Once its first byte may have been
+ * sent, a failure ends the write as {@link GatewayCall.Outcome.Failed}, because the store may carry it out now or
+ * later; the response to a second attempt would then reflect the state left by the first.
  *
- * <p>All methods run on the IO thread.
+ * <p>All methods must be called on the I/O thread.
  */
 final class GatewayCaller {
     private static final KeyValueLog LOG = KeyValueLog.of(GatewayCaller.class);
@@ -47,11 +47,11 @@
         long now = runtime.nowMs();
         long waitMs = addresses.waitMs(now);
         if (closed) {
-            call.end(new GatewayCall.Outcome.NotSent("the store is closed"));
+            call.complete(new GatewayCall.Outcome.NotSent("the store is closed"));
             return;
         }
         if (waitMs >= call.remainingMs(now)) {
-            call.end(new GatewayCall.Outcome.NotSent("no address answers"));
+            call.complete(new GatewayCall.Outcome.NotSent("no address answers"));
             return;
         }
         if (waitMs > 0) {
@@ -61,22 +61,22 @@
         HostPort address = addresses.choose(now);
         connections.acquire(address, now, new GatewayConnections.Listener() {
             @Override
-            public void connected(GatewayConnections.Link link) {
+            public void onConnected(GatewayConnections.Link link) {
                 send(call, link);
             }
 
             @Override
-            public void refused(String reason) {
+            public void onConnectFailed(String reason) {
                 addressFailed(address, reason);
                 start(call);
             }
         });
     }
 
-    /** Takes one call from the budget; false where it is spent. */
-    boolean spend(String path) {
+    /** Takes one call from the budget; false if the budget is spent. */
+    boolean takeFromBudget(String path) {
         if (budget.tryTake(runtime.nowMs())) {
-            runtime.metrics().sent(path);
+            runtime.metrics().countCall(path);
             return true;
         }
         runtime.metrics().budgetSpent();
@@ -115,9 +115,9 @@
     }
 
     private void send(GatewayCall call, GatewayConnections.Link link) {
-        if (!spend(call.path())) {
+        if (!takeFromBudget(call.path())) {
             connections.release(link, runtime.nowMs());
-            call.end(new GatewayCall.Outcome.NotSent("budget"));
+            call.complete(new GatewayCall.Outcome.NotSent("budget"));
             return;
         }
         long remainingMs = call.remainingMs(runtime.nowMs());
@@ -125,45 +125,46 @@
                 ? remainingMs
                 : Math.min(remainingMs, runtime.options().timeouts().attemptMs());
         Attempt attempt = new Attempt(call, link);
-        attempt.timer = runtime.after(limitMs, () -> attempt.cut("no answer in time"));
+        attempt.timer = runtime.after(limitMs, () -> attempt.onFailed("no answer in time"));
         link.send(call.method(), call.path(), call.body(), attempt);
     }
 
-    private void answered(GatewayCall call, HostPort address, GatewayCall.Outcome.Answer answer) {
-        int status = answer.status();
+    private void onResponse(GatewayCall call, HostPort address, GatewayCall.Outcome.Response response) {
+        int status = response.status();
         if (status == TOO_MANY_REQUESTS) {
-            limited(call, answer);
+            onRateLimited(call, response);
             return;
         }
         if (status >= FIRST_SERVER_ERROR) {
-            // A server error may come after the write was handed on ("request timed out"), so it settles nothing.
-            failed(call, address, "status " + status + ": " + GatewayCodec.errorMessage(answer.body()));
+            // A server error may follow after the write was forwarded ("request timed out"), so the outcome stays
+            // unknown.
+            onAttemptFailed(call, address, "status " + status + ": " + GatewayCodec.errorMessage(response.body()));
             return;
         }
         addresses.succeeded(address);
-        call.end(answer);
+        call.complete(response);
     }
 
-    private void limited(GatewayCall call, GatewayCall.Outcome.Answer answer) {
+    private void onRateLimited(GatewayCall call, GatewayCall.Outcome.Response response) {
         runtime.metrics().rateLimited();
-        long waitMs = addresses.backoffMs(call.countLimited());
+        long waitMs = addresses.backoffMs(call.countRateLimited());
         if (waitMs >= call.remainingMs(runtime.nowMs())) {
-            call.end(answer);
+            call.complete(response);
             return;
         }
         startLater(call, waitMs);
     }
 
-    private void failed(GatewayCall call, HostPort address, String reason) {
+    private void onAttemptFailed(GatewayCall call, HostPort address, String reason) {
         addressFailed(address, reason);
         if (call.isOnce() || call.remainingMs(runtime.nowMs()) <= 0) {
-            call.end(new GatewayCall.Outcome.Cut(reason));
+            call.complete(new GatewayCall.Outcome.Failed(reason));
             return;
         }
         start(call);
     }
 
-    /** One exchange of a call, which ends once: by its answer, a cut or the timeout. */
+    /** One HTTP exchange of a call. Ends exactly once: with a response, a failure or a timeout. */
     private final class Attempt implements GatewayExchange.Listener {
         private final GatewayCall call;
         private final GatewayConnections.Link link;
@@ -171,7 +172,7 @@
         private XnioExecutor.@Nullable Key timer;
         private int status;
         private HeaderMap headers = NO_HEADERS;
-        private boolean over;
+        private boolean ended;
 
         private Attempt(GatewayCall call, GatewayConnections.Link link) {
             this.call = call;
@@ -179,15 +180,15 @@
         }
 
         @Override
-        public void head(int receivedStatus, HeaderMap receivedHeaders) {
+        public void onHead(int receivedStatus, HeaderMap receivedHeaders) {
             status = receivedStatus;
             headers = receivedHeaders;
         }
 
         @Override
-        public void bytes(ByteBuffer bytes) {
+        public void onBytes(ByteBuffer bytes) {
             if (body.size() + bytes.remaining() > runtime.options().maxResponseBytes()) {
-                cut("the answer is larger than " + runtime.options().maxResponseBytes() + " bytes");
+                onFailed("the answer is larger than " + runtime.options().maxResponseBytes() + " bytes");
                 return;
             }
             byte[] copy = new byte[bytes.remaining()];
@@ -196,8 +197,8 @@
         }
 
         @Override
-        public void ended(boolean reusable) {
-            if (over) {
+        public void onComplete(boolean reusable) {
+            if (ended) {
                 return;
             }
             end();
@@ -206,23 +207,23 @@
             } else {
                 link.close();
             }
-            answered(call, link.address(), new GatewayCall.Outcome.Answer(status, headers, body.toByteArray()));
+            onResponse(call, link.address(), new GatewayCall.Outcome.Response(status, headers, body.toByteArray()));
         }
 
         @Override
-        public void cut(String reason) {
-            if (over) {
+        public void onFailed(String reason) {
+            if (ended) {
                 return;
             }
             end();
-            // Its late answer would be taken for the next exchange's, so the connection never goes back.
+            // A late response would be taken for that of the next exchange, so the connection is never reused.
             link.close();
-            connections.closeResting(link.address());
-            failed(call, link.address(), reason);
+            connections.closeIdle(link.address());
+            onAttemptFailed(call, link.address(), reason);
         }
 
         private void end() {
-            over = true;
+            ended = true;
             if (timer != null) {
                 timer.remove();
             }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayCodec.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayCodec.java
@@ -17,7 +17,9 @@
 import org.marjoramswitch.daemon.platform.KeyValueStore.Entry;
 import org.marjoramswitch.daemon.platform.KeyValueStore.Range;
 
-/** The JSON of etcd v3's gateway: keys and values in base64, 64-bit numbers as strings, zeros left out. */
+/**
+ * Encodes and decodes the JSON of etcd v3's gateway: Base64 keys and values, 64-bit numbers as strings, zeros omitted.
+ */
 final class GatewayCodec {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -49,7 +51,7 @@
         return body.toString();
     }
 
-    /** One transaction of nested ones: each key is created where it does not exist, and read where it does. */
+    /** A transaction with a nested one per key, which creates the key if it does not exist and reads it if it does. */
     static String createEachRequest(Map<String, String> entries, long leaseId) {
         ObjectNode body = object();
         ArrayNode operations = body.putArray("success");
@@ -95,16 +97,16 @@
         return first.isMissingNode() ? null : entry(first);
     }
 
-    /** For each key of a {@link #createEachRequest}, in its order, the entry that was there before, null if created. */
-    static List<@Nullable Entry> createEachAnswer(JsonNode body) {
-        List<@Nullable Entry> before = new ArrayList<>();
+    /** For each key of a {@link #createEachRequest}, in order, the existing entry, or null if the key was created. */
+    static List<@Nullable Entry> createEachResult(JsonNode body) {
+        List<@Nullable Entry> existing = new ArrayList<>();
         for (JsonNode response : body.path("responses")) {
             JsonNode nested = response.path("response_txn");
             boolean created = nested.path("succeeded").asBoolean();
-            before.add(
+            existing.add(
                     created ? null : firstEntry(nested.path("responses").path(0).path("response_range")));
         }
-        return before;
+        return existing;
     }
 
     static Entry entry(JsonNode kv) {
@@ -117,7 +119,7 @@
                 kv.path("lease").asLong());
     }
 
-    /** The message of an error body, or the body's start where it is none. */
+    /** The message of an error body, or a placeholder if it has none. */
     static String errorMessage(byte[] body) {
         try {
             JsonNode message = JSON.readTree(body).path("message");
@@ -159,7 +161,10 @@
         return new String(Base64.getDecoder().decode(field.asText("")), UTF_8);
     }
 
-    /** The first key after all that begin with the prefix; one zero byte, which means no end, for the empty prefix. */
+    /**
+     * The first key after all keys with the prefix; for the empty prefix a single zero byte, which means no upper
+     * bound.
+     */
     private static byte[] prefixEnd(String prefix) {
         byte[] end = prefix.getBytes(UTF_8);
         for (int last = end.length - 1; last >= 0; last--) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayConnections.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayConnections.java
@@ -21,9 +21,9 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Connections to the service's addresses, all on one IO thread, which alone may call this. A connection goes back to the
- * pool only by {@link #release}, which is called after a whole answer only; it is closed once it has rested longer than
- * the idle age, because what stands between the two ends may have forgotten it without telling either.
+ * Connection pool for the store's addresses. Confined to one I/O thread. A connection returns to the pool only through
+ * {@link #release}, which is called only after a complete response. It is closed once it has been idle longer than the
+ * idle age, because a middlebox may have dropped its state without notifying either end.
  */
 final class GatewayConnections {
     private static final int BUFFER_BYTES = 16 << 10;
@@ -42,21 +42,21 @@
         return new GatewayConnections(runtime);
     }
 
-    /** Told how an attempt to get a connection ended; nothing was sent in either case. */
+    /** Receives the result of an attempt to obtain a connection; nothing was sent in either case. */
     interface Listener {
-        void connected(Link link);
+        void onConnected(Link link);
 
-        void refused(String reason);
+        void onConnectFailed(String reason);
     }
 
-    /** Gives a pooled connection, or a new one where none is fresh enough. */
+    /** Obtains a pooled connection, or a new one if none is fresh enough. */
     void acquire(HostPort address, long nowMs, Listener listener) {
         Deque<Link> pooled = idle.getOrDefault(address, new ArrayDeque<>());
         while (!pooled.isEmpty()) {
             Link link = pooled.pop();
             boolean tooOld = nowMs - link.idleSinceMs > runtime.options().pool().idleAgeMs();
             if (link.connection.isOpen() && !tooOld) {
-                listener.connected(link);
+                listener.onConnected(link);
                 return;
             }
             link.close();
@@ -64,11 +64,11 @@
         connect(address, listener);
     }
 
-    /** Gives a new connection. */
+    /** Opens a new connection. */
     void connect(HostPort address, Listener listener) {
         Connecting connecting = new Connecting(address, listener);
-        connecting.timer = runtime.after(
-                runtime.options().timeouts().connectMs(), () -> connecting.refuse("no connection in time"));
+        connecting.timer =
+                runtime.after(runtime.options().timeouts().connectMs(), () -> connecting.fail("no connection in time"));
         UndertowClient.getInstance()
                 .connect(
                         connecting,
@@ -78,7 +78,7 @@
                         OptionMap.create(Options.TCP_NODELAY, true));
     }
 
-    /** Pools a connection whose last exchange ended whole. */
+    /** Returns a connection to the pool after a complete exchange. */
     void release(Link link, long nowMs) {
         Deque<Link> pooled = idle.computeIfAbsent(link.address, address -> new ArrayDeque<>());
         if (closed || pooled.size() >= runtime.options().pool().connectionsPerAddress()) {
@@ -90,10 +90,11 @@
     }
 
     /**
-     * Closes the connections to an address that rest. One that got no answer has probably gone silent, and what made it
-     * so did the same to these: a read that took them one after the other spent its whole time on them.
+     * Closes the idle connections to an address. If a call on one connection got no response, the cause probably
+     * affects all connections to the address; a read that tried them one after the other would spend all its time on
+     * them.
      */
-    void closeResting(HostPort address) {
+    void closeIdle(HostPort address) {
         Deque<Link> pooled = idle.remove(address);
         if (pooled != null) {
             pooled.forEach(Link::close);
@@ -106,10 +107,10 @@
     }
 
     /**
-     * Closes the socket itself. Undertow's own close waits up to 10 s for the rest of an answer that is under way; the
-     * service would hold a watch that nobody reads as waiting for so long, and count it.
+     * Closes the socket itself. Undertow's own close waits up to 10 s for the remainder of an ongoing response, during
+     * which the store would keep, and count, a watch that nobody reads.
      */
-    private static void closeAtOnce(ClientConnection connection) {
+    private static void closeImmediately(ClientConnection connection) {
         try {
             IoUtils.safeClose(connection.performUpgrade());
         } catch (IOException e) {
@@ -117,7 +118,7 @@
         }
     }
 
-    /** One open connection and the exchange that it carries, if any. */
+    /** An open connection and its current exchange, if any. */
     final class Link {
         private final HostPort address;
         private final ClientConnection connection;
@@ -137,29 +138,29 @@
             exchange = GatewayExchange.send(connection, buffers, address, method, path, body, listener);
         }
 
-        /** Closes the connection; the exchange on it, if any, hears no more. */
+        /** Closes the connection; its exchange, if any, receives no further callbacks. */
         void close() {
             if (exchange != null) {
                 exchange.abandon();
             }
             open.remove(this);
-            closeAtOnce(connection);
+            closeImmediately(connection);
         }
 
-        private void closedByPeer() {
+        private void onClosedByPeer() {
             open.remove(this);
             if (exchange != null) {
-                exchange.connectionClosed();
+                exchange.onConnectionClosed();
             }
         }
     }
 
-    /** An attempt to connect that ends once, by the connection, its failure or the timeout. */
+    /** An attempt to connect. Ends exactly once: with a connection, a failure or a timeout. */
     private final class Connecting implements ClientCallback<ClientConnection> {
         private final HostPort address;
         private final Listener listener;
         private XnioExecutor.@Nullable Key timer;
-        private boolean over;
+        private boolean ended;
 
         private Connecting(HostPort address, Listener listener) {
             this.address = address;
@@ -168,33 +169,33 @@
 
         @Override
         public void completed(ClientConnection connection) {
-            if (over || closed) {
+            if (ended || closed) {
                 IoUtils.safeClose(connection);
-                refuse("the store is closed");
+                fail("the store is closed");
                 return;
             }
             end();
             Link link = new Link(address, connection);
             open.add(link);
-            connection.addCloseListener(gone -> link.closedByPeer());
-            listener.connected(link);
+            connection.addCloseListener(gone -> link.onClosedByPeer());
+            listener.onConnected(link);
         }
 
         @Override
         public void failed(IOException e) {
-            refuse(String.valueOf(e.getMessage()));
+            fail(String.valueOf(e.getMessage()));
         }
 
-        private void refuse(String reason) {
-            if (over) {
+        private void fail(String reason) {
+            if (ended) {
                 return;
             }
             end();
-            listener.refused(reason);
+            listener.onConnectFailed(reason);
         }
 
         private void end() {
-            over = true;
+            ended = true;
             if (timer != null) {
                 timer.remove();
             }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayExchange.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayExchange.java
@@ -18,27 +18,29 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** One HTTP request and its answer on one connection, driven by the connection's IO thread. */
+/** One HTTP request and its response on a connection; runs on the connection's I/O thread. */
 final class GatewayExchange {
 
-    /** What becomes of the exchange; exactly one of ended and cut comes last. */
+    /** Receives the events of an exchange; the last one is either {@code onComplete} or {@code onFailed}. */
     interface Listener {
-        void head(int status, HeaderMap headers);
+        void onHead(int status, HeaderMap headers);
 
-        void bytes(ByteBuffer bytes);
+        void onBytes(ByteBuffer bytes);
 
-        /** The answer was read whole; {@code reusable} tells whether the connection may carry another exchange. */
-        void ended(boolean reusable);
+        /**
+         * The complete response was received; {@code reusable} is true if the connection may carry another exchange.
+         */
+        void onComplete(boolean reusable);
 
-        /** The connection failed or was closed before the answer was whole. */
-        void cut(String reason);
+        /** The connection failed or was closed before the response was complete. */
+        void onFailed(String reason);
     }
 
     private final ClientConnection connection;
     private final ByteBufferPool buffers;
     private final Listener listener;
     private boolean requestWritten;
-    private boolean over;
+    private boolean ended;
 
     private GatewayExchange(ClientConnection connection, ByteBufferPool buffers, Listener listener) {
         this.connection = connection;
@@ -46,7 +48,7 @@
         this.listener = listener;
     }
 
-    /** Sends a request; must be called on the connection's IO thread. */
+    /** Sends a request; must be called on the connection's I/O thread. */
     static GatewayExchange send(
             ClientConnection connection,
             ByteBufferPool buffers,
@@ -64,27 +66,27 @@
                     .put(Headers.CONTENT_TYPE, "application/json")
                     .put(Headers.CONTENT_LENGTH, body.length());
         }
-        connection.sendRequest(request, exchange.sending(body));
+        connection.sendRequest(request, exchange.requestCallback(body));
         return exchange;
     }
 
-    /** Tells the listener that the connection is gone, unless the exchange is over. */
-    void connectionClosed() {
-        cut("the connection was closed");
+    /** Notifies the listener that the connection was closed, unless the exchange has ended. */
+    void onConnectionClosed() {
+        fail("the connection was closed");
     }
 
-    /** Forgets the listener; the caller closes the connection. */
+    /** Detaches the listener; the caller closes the connection. */
     void abandon() {
-        over = true;
+        ended = true;
     }
 
-    private ClientCallback<ClientExchange> sending(String body) {
+    private ClientCallback<ClientExchange> requestCallback(String body) {
         return new ClientCallback<>() {
             @Override
             public void completed(ClientExchange exchange) {
-                exchange.setResponseListener(receiving());
+                exchange.setResponseListener(responseCallback());
                 if (body.isEmpty()) {
-                    // An empty body goes out with the head.
+                    // An empty body is sent with the head.
                     requestWritten = true;
                     return;
                 }
@@ -93,19 +95,19 @@
 
             @Override
             public void failed(IOException e) {
-                cut("the request failed: " + e);
+                fail("the request failed: " + e);
             }
         };
     }
 
-    private ClientCallback<ClientExchange> receiving() {
+    private ClientCallback<ClientExchange> responseCallback() {
         return new ClientCallback<>() {
             @Override
             public void completed(ClientExchange exchange) {
-                if (over) {
+                if (ended) {
                     return;
                 }
-                listener.head(
+                listener.onHead(
                         exchange.getResponse().getResponseCode(),
                         exchange.getResponse().getResponseHeaders());
                 read(exchange.getResponseChannel());
@@ -113,7 +115,7 @@
 
             @Override
             public void failed(IOException e) {
-                cut("the answer failed: " + e);
+                fail("the answer failed: " + e);
             }
         };
     }
@@ -126,7 +128,7 @@
     private void drain(StreamSourceChannel channel) {
         try (PooledByteBuffer pooled = buffers.allocate()) {
             ByteBuffer buffer = pooled.getBuffer();
-            while (!over) {
+            while (!ended) {
                 buffer.clear();
                 int count = channel.read(buffer);
                 if (count == 0) {
@@ -134,28 +136,28 @@
                     return;
                 }
                 if (count < 0) {
-                    end();
+                    complete();
                     return;
                 }
                 buffer.flip();
-                listener.bytes(buffer);
+                listener.onBytes(buffer);
             }
         } catch (IOException e) {
-            cut("the answer broke off: " + e);
+            fail("the answer broke off: " + e);
         }
     }
 
-    private void end() {
-        over = true;
-        listener.ended(requestWritten && connection.isOpen());
+    private void complete() {
+        ended = true;
+        listener.onComplete(requestWritten && connection.isOpen());
     }
 
-    private void cut(String reason) {
-        if (over) {
+    private void fail(String reason) {
+        if (ended) {
             return;
         }
-        over = true;
-        listener.cut(reason);
+        ended = true;
+        listener.onFailed(reason);
     }
 
     private final class BodyWriter extends StringWriteChannelListener {
@@ -172,7 +174,7 @@
         @Override
         protected void handleError(StreamSinkChannel channel, IOException e) {
             super.handleError(channel, e);
-            cut("the request broke off: " + e);
+            fail("the request broke off: " + e);
         }
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayRuntime.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayRuntime.java
@@ -5,7 +5,7 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** What the parts of the client share: the one thread they run on, its clock, the options and the counts. */
+/** Shared context of the client's parts: their only thread, the clock, the options and the metrics. */
 record GatewayRuntime(XnioIoThread ioThread, LongSupplier clock, KeyValueOptions options, PlatformMetrics metrics) {
     long nowMs() {
         return clock.getAsLong();
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayWatch.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayWatch.java
@@ -16,22 +16,22 @@
 import org.xnio.XnioExecutor;
 
 /**
- * A watch that a silent connection cannot fool.
+ * Watch of a prefix that tolerates silently dropped connections.
  *
- * <p>A waiting watch is quiet when nothing changes, and just as quiet when something between the two ends has forgotten
- * its connection. Nothing on that connection tells the two apart. So each connection is trusted for a bounded time only:
- * at the end of it a second one is opened from the revision after the last one delivered, and once the service has
- * acknowledged it, the first is closed. What the first missed is in the service's history and comes on the second. A
- * change is thus hidden for at most the watch's age plus the time of an acknowledgement; the default age of 3 s costs
- * one call each 3 s and watch.
+ * <p>A watch connection is silent when nothing changes, and equally silent when a middlebox has dropped its state; the
+ * two cases can't be distinguished on that connection. Each connection is therefore trusted for a bounded time only: a
+ * second one is then opened from the revision after the last delivered one, and once the store has acknowledged it, the
+ * first is closed. Changes that the first one missed are in the store's history and arrive on the second. A change is
+ * thus delayed by at most the maximum watch age plus the time of an acknowledgement; the default age of 3 s costs one
+ * call per watch every 3 s.
  *
- * <p>While both are open a change may come on both; a change is delivered only if its revision is above the last one
- * delivered. All changes of one revision come in one message, so none of them is lost by this.
+ * <p>While both connections are open, a change may arrive on both; it is delivered only if its revision is above the
+ * last delivered one. All changes of one revision arrive in one message, so none of them is dropped.
  *
- * <p>Where the second connection cannot be opened, or its start lies in history that was compacted, the watch is broken:
- * the listener hears {@link WatchEvent.Broken} once, as the last event, and reads the prefix anew.
+ * <p>If the second connection can't be opened, or its start revision has been compacted, the watch breaks: the listener
+ * receives {@link WatchEvent.Broken} once, as the last event, and reads the prefix again.
  *
- * <p>Runs on the IO thread; events are delivered in order by the given executor.
+ * <p>Runs on the I/O thread; events are delivered in order by the given executor.
  */
 final class GatewayWatch implements AutoCloseable {
     static final String PATH = "/v3/watch";
@@ -48,7 +48,7 @@
     private @Nullable Stream next;
     private XnioExecutor.@Nullable Key renewal;
     private boolean deferred;
-    private boolean over;
+    private boolean ended;
 
     private GatewayWatch(
             GatewayRuntime runtime,
@@ -75,9 +75,9 @@
         return new GatewayWatch(runtime, caller, prefix, afterRevision, delivery, listener);
     }
 
-    /** Opens a connection that is to take over from the current one, if any. */
+    /** Opens a connection that replaces the current one, if any. */
     void open() {
-        if (over) {
+        if (ended) {
             return;
         }
         long now = runtime.nowMs();
@@ -95,10 +95,10 @@
         caller.connections().connect(address, stream);
     }
 
-    /** Another call has just failed; its address is waited for once, so that one lost call breaks no watch. */
+    /** Waits once for the backoff caused by another call's failure, so that a single failed call breaks no watch. */
     private void openLater(long waitMs) {
         if (deferred) {
-            breakOff("no address answers");
+            breakWatch("no address answers");
             return;
         }
         deferred = true;
@@ -107,7 +107,7 @@
 
     @Override
     public void close() {
-        over = true;
+        ended = true;
         if (renewal != null) {
             renewal.remove();
         }
@@ -115,7 +115,7 @@
         closeStream(next);
     }
 
-    private void acknowledged(Stream stream) {
+    private void onAcknowledged(Stream stream) {
         if (current != null) {
             runtime.metrics().watchRenewed();
         }
@@ -126,8 +126,8 @@
         renewal = runtime.after(runtime.options().watchMaxAgeMs(), this::open);
     }
 
-    private void breakOff(String reason) {
-        if (over) {
+    private void breakWatch(String reason) {
+        if (ended) {
             return;
         }
         close();
@@ -147,16 +147,16 @@
 
     private void receive(Stream stream, JsonNode result) {
         if (result.path("canceled").asBoolean()) {
-            breakOff("cancelled by the service");
+            breakWatch("cancelled by the store");
             return;
         }
         if (result.path("created").asBoolean()) {
-            created(stream, GatewayCodec.revision(result));
+            onCreated(stream, GatewayCodec.revision(result));
             return;
         }
         JsonNode events = result.path("events");
         if (events.isEmpty()) {
-            // A progress notification: everything up to its revision has been delivered on this connection.
+            // A progress notification: all changes up to its revision have been delivered on this connection.
             deliveredRevision = Math.max(deliveredRevision, GatewayCodec.revision(result));
             return;
         }
@@ -166,11 +166,11 @@
         }
     }
 
-    private void created(Stream stream, long serviceRevision) {
-        if (serviceRevision < deliveredRevision) {
-            // The service was restored from a backup. A watch from a revision that it has not reached again would
-            // stay quiet over every change until then.
-            breakOff("the service's revision went back to " + serviceRevision);
+    private void onCreated(Stream stream, long storeRevision) {
+        if (storeRevision < deliveredRevision) {
+            // The store was restored from a backup. A watch from a revision that it has not reached again would report
+            // no change until then.
+            breakWatch("the store's revision went back to " + storeRevision);
             return;
         }
         stream.acknowledge();
@@ -196,7 +196,7 @@
         }
     }
 
-    /** One connection of the watch. */
+    /** A connection of the watch. */
     private final class Stream implements GatewayConnections.Listener, GatewayExchange.Listener {
         private final HostPort address;
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
@@ -209,42 +209,42 @@
         }
 
         @Override
-        public void connected(GatewayConnections.Link connected) {
+        public void onConnected(GatewayConnections.Link opened) {
             if (closed) {
-                connected.close();
+                opened.close();
                 return;
             }
-            link = connected;
-            if (!caller.spend(PATH)) {
+            link = opened;
+            if (!caller.takeFromBudget(PATH)) {
                 fail("budget");
                 return;
             }
-            connected.send(Methods.POST_STRING, PATH, GatewayCodec.watchRequest(prefix, deliveredRevision + 1), this);
+            opened.send(Methods.POST_STRING, PATH, GatewayCodec.watchRequest(prefix, deliveredRevision + 1), this);
         }
 
         @Override
-        public void refused(String reason) {
+        public void onConnectFailed(String reason) {
             fail(reason);
         }
 
         @Override
-        public void head(int status, HeaderMap headers) {
+        public void onHead(int status, HeaderMap headers) {
             if (status != HTTP_OK) {
                 fail("status " + status);
             }
         }
 
         @Override
-        public void bytes(ByteBuffer bytes) {
+        public void onBytes(ByteBuffer bytes) {
             while (bytes.hasRemaining() && !closed) {
                 byte next = bytes.get();
                 if (next != '\n') {
                     line.write(next);
                     continue;
                 }
-                byte[] whole = line.toByteArray();
+                byte[] message = line.toByteArray();
                 line.reset();
-                receiveLine(whole);
+                receiveLine(message);
             }
             if (line.size() > runtime.options().maxResponseBytes()) {
                 fail("a message is larger than " + runtime.options().maxResponseBytes() + " bytes");
@@ -252,26 +252,26 @@
         }
 
         @Override
-        public void ended(boolean reusable) {
-            fail("the service ended the watch");
+        public void onComplete(boolean reusable) {
+            fail("the store ended the watch");
         }
 
         @Override
-        public void cut(String reason) {
+        public void onFailed(String reason) {
             fail(reason);
         }
 
-        private void receiveLine(byte[] whole) {
-            if (whole.length == 0) {
+        private void receiveLine(byte[] message) {
+            if (message.length == 0) {
                 return;
             }
             try {
-                JsonNode message = GatewayCodec.parse(whole);
-                if (message.has("error")) {
-                    fail(message.path("error").toString());
+                JsonNode body = GatewayCodec.parse(message);
+                if (body.has("error")) {
+                    fail(body.path("error").toString());
                     return;
                 }
-                receive(this, message.path("result"));
+                receive(this, body.path("result"));
             } catch (IOException e) {
                 fail("unreadable message: " + e.getMessage());
             }
@@ -281,11 +281,11 @@
             if (acknowledgeTimer != null) {
                 acknowledgeTimer.remove();
                 acknowledgeTimer = null;
-                acknowledged(this);
+                onAcknowledged(this);
             }
         }
 
-        /** Ends this connection; the watch goes on only where another one is on its way. */
+        /** Closes this connection; the watch continues only if another one is being opened. */
         private void fail(String reason) {
             if (closed) {
                 return;
@@ -297,7 +297,7 @@
             if (this == next) {
                 caller.addressFailed(address, reason);
             }
-            breakOff(reason);
+            breakWatch(reason);
         }
 
         private void close() {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/KeyValueBatch.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/KeyValueBatch.java
@@ -6,15 +6,15 @@
 import org.jspecify.annotations.Nullable;
 import org.marjoramswitch.daemon.platform.KeyValueStore.Entry;
 
-/** Many independent creations in one call. */
+/** Creates many independent keys in one call. */
 @FunctionalInterface
 public interface KeyValueBatch {
-    /** The most keys that one call may carry: etcd's default bound on the operations of a transaction. */
+    /** Maximum number of keys per call: etcd's default limit on the operations of a transaction. */
     int MAX_KEYS = 128;
 
     /**
-     * Creates each key that does not exist; one that does stays as it is and hinders no other. The value has, in the
-     * map's order, null for a key created by this call and the entry found for every other.
+     * Creates each key that does not exist; existing keys stay unchanged and do not affect the others. The value holds,
+     * in the map's order, null for a key created by this call and the existing entry for any other key.
      */
     CompletableFuture<KeyValueResult<List<@Nullable Entry>>> createEach(Map<String, String> entries, long leaseId);
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/KeyValueOptions.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/KeyValueOptions.java
@@ -1,11 +1,11 @@
 package org.marjoramswitch.daemon.platform;
 
 /**
- * How the client of the platform's service behaves.
+ * Options of the client of the platform's key-value store.
  *
- * @param watchMaxAgeMs the longest one watch connection is trusted before a fresh one takes over from it
- * @param maxResponseBytes the largest answer that is read
- * @param seed of the waits' jitter
+ * @param watchMaxAgeMs maximum age of a watch connection before a new one replaces it
+ * @param maxResponseBytes maximum size of a response
+ * @param seed seed of the backoff jitter
  */
 public record KeyValueOptions(
         Timeouts timeouts,
@@ -18,31 +18,31 @@
     private static final int MAX_RESPONSE_BYTES = 64 << 20;
 
     /**
-     * @param callMs the longest any call lasts, with its waits and second attempts
-     * @param attemptMs the longest one attempt of a read lasts before another address is tried
-     * @param connectMs the longest an attempt to connect lasts
+     * @param callMs maximum duration of a call, including waits and retries
+     * @param attemptMs maximum duration of one attempt of a read before another address is tried
+     * @param connectMs maximum duration of an attempt to connect
      */
     public record Timeouts(long callMs, long attemptMs, long connectMs) {}
 
     /**
-     * @param callsPerSecond the calls that may be made, every attempt and every opened watch counted
-     * @param burstCalls the calls that may be made at once after a quiet time
+     * @param callsPerSecond maximum rate of calls, including every attempt and every opened watch
+     * @param burstCalls maximum number of calls in a burst after an idle period
      */
     public record Budget(int callsPerSecond, int burstCalls) {}
 
     /**
-     * @param connectionsPerAddress the most connections that rest for one address
-     * @param idleAgeMs the longest a connection rests before it is closed unused
+     * @param connectionsPerAddress maximum number of idle connections per address
+     * @param idleAgeMs maximum idle time of a connection before it is closed
      */
     public record Pool(int connectionsPerAddress, long idleAgeMs) {}
 
     /**
-     * @param firstMs the upper bound of the first wait after a failure; it doubles with each further one
-     * @param maxMs the upper bound of all waits
+     * @param firstMs upper bound of the first backoff after a failure; doubles with each further failure
+     * @param maxMs upper bound of every backoff
      */
     public record Backoff(long firstMs, long maxMs) {}
 
-    /** The defaults; each instance has a seed of its own. */
+    /** The defaults; each instance uses its own seed. */
     public static KeyValueOptions of(long seed) {
         return new KeyValueOptions(
                 new Timeouts(2_000, 800, 500),
@@ -64,7 +64,6 @@
         return new KeyValueOptions(timeouts, changed, pool, backoff, watchMaxAgeMs, maxResponseBytes, seed);
     }
 
-    /** With other waits after failures. */
     public KeyValueOptions withBackoff(long firstMs, long maxMs) {
         Backoff changed = new Backoff(firstMs, maxMs);
         return new KeyValueOptions(timeouts, budget, pool, changed, watchMaxAgeMs, maxResponseBytes, seed);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/LoggedEntries.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/LoggedEntries.java
@@ -5,8 +5,8 @@
 import org.marjoramswitch.daemon.platform.KeyValueStore.Entry;
 
 /**
- * Which versions of unreadable entries were logged. A list is read whole with each change of any entry, and one that
- * cannot be read would be logged each time; each version of it is logged once.
+ * Tracks which versions of malformed entries have been logged. A list is parsed completely whenever any entry changes,
+ * which would log a malformed entry each time; each version of it is logged once.
  */
 public final class LoggedEntries {
     private final Map<String, Long> revisions = new HashMap<>();
@@ -17,7 +17,7 @@
         return new LoggedEntries();
     }
 
-    /** Notes this version of the entry; false where it was noted before. */
+    /** Records this version of the entry; false if it was recorded before. */
     public boolean add(Entry entry) {
         Long logged = revisions.put(entry.key(), entry.modRevision());
         return logged == null || logged != entry.modRevision();
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/PendingClaim.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/PendingClaim.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** A claim that waits for its answer. */
+/** A claim that waits for its result. */
 final class PendingClaim {
     private final String key;
     private final ClaimValue value;
@@ -42,7 +42,7 @@
         return result;
     }
 
-    /** Whether a write of this claim may have taken effect although no answer came. */
+    /** Whether a write of this claim may have taken effect although no response was received. */
     boolean isUncertain() {
         return uncertain;
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/PlatformClaims.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/PlatformClaims.java
@@ -5,24 +5,24 @@
 import org.marjoramswitch.daemon.caller.Claims;
 import org.marjoramswitch.kernel.model.CustomerId;
 
-/** The callers' side's {@link Claims} by a {@link ClaimStore}. */
+/** Implements {@link Claims} with a {@link ClaimStore}. */
 public final class PlatformClaims implements Claims {
     private final ClaimStore store;
-    private final long leastUsableMs;
+    private final long minUsableMs;
     private final LongSupplier nowMs;
 
-    private PlatformClaims(ClaimStore store, long leastUsableMs, LongSupplier nowMs) {
+    private PlatformClaims(ClaimStore store, long minUsableMs, LongSupplier nowMs) {
         this.store = store;
-        this.leastUsableMs = leastUsableMs;
+        this.minUsableMs = minUsableMs;
         this.nowMs = nowMs;
     }
 
     /**
-     * @param leastUsableMs how long a claim must still be usable when its answer comes: longer than any request waits,
+     * @param minUsableMs minimum remaining validity of a claim when its result arrives: longer than any request waits,
      *     and less than the retention
      */
-    public static PlatformClaims of(ClaimStore store, long leastUsableMs, LongSupplier nowMs) {
-        return new PlatformClaims(store, leastUsableMs, nowMs);
+    public static PlatformClaims of(ClaimStore store, long minUsableMs, LongSupplier nowMs) {
+        return new PlatformClaims(store, minUsableMs, nowMs);
     }
 
     @Override
@@ -41,11 +41,11 @@
     }
 
     /**
-     * An instance that was paused between its claim and now may find the claim lapsed, and the key given to another
-     * instance, while its own request still waits. It refuses; that nothing was sent is certain here.
+     * If this instance was paused after its claim, the claim may expire and another instance may claim the key while
+     * the request still waits here. Such a request is rejected; it is certain that nothing was sent.
      */
     private Result checkUsable(ClaimResult.Claimed claimed) {
-        if (claimed.usableUntilMs() - nowMs.getAsLong() >= leastUsableMs) {
+        if (claimed.usableUntilMs() - nowMs.getAsLong() >= minUsableMs) {
             return new Result.Claimed(() -> store.release(claimed));
         }
         store.release(claimed);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/PlatformMetrics.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/PlatformMetrics.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.regex.Pattern;
 
-/** The counts of what passes between this instance and the platform's service. */
+/** Counts the calls between this instance and the platform's key-value store. */
 final class PlatformMetrics {
-    /** What differs between two calls of one kind, the numbers of leases and the queries, and what is the same in all. */
-    private static final Pattern NAMES_OF_ONE_CALL = Pattern.compile("^/v3|^/-|/[0-9]+$|\\?.*$");
+    /** Parts of a path left out of a metric's name: the common prefix, lease ids and query strings. */
+    private static final Pattern NON_NAME_PATH_PARTS = Pattern.compile("^/v3|^/-|/[0-9]+$|\\?.*$");
 
     private final MetricRegistry registry;
     private final AtomicLong calls = new AtomicLong();
@@ -27,14 +27,14 @@
         return new PlatformMetrics(registry);
     }
 
-    void sent(String path) {
+    void countCall(String path) {
         calls.incrementAndGet();
         registry.meter("platform.calls"
-                        + NAMES_OF_ONE_CALL.matcher(path).replaceAll("").replace('/', '.'))
+                        + NON_NAME_PATH_PARTS.matcher(path).replaceAll("").replace('/', '.'))
                 .mark();
     }
 
-    void ended(String result) {
+    void countResult(String result) {
         registry.meter("platform.results." + result).mark();
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/PrefixFollower.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/PrefixFollower.java
@@ -16,20 +16,20 @@
 import org.marjoramswitch.kernel.error.ErrorType;
 
 /**
- * Follows the entries of one prefix: reads them once and watches them from there. A watch brings a change at once and
- * costs bytes for changes only, where polling would carry all of it each time. While the service does not answer, what was
- * read last stays.
+ * Follows the entries of one prefix: reads them once and then watches them. A watch reports changes immediately and
+ * transfers changes only, whereas polling would transfer all entries each time. While the store does not respond, the
+ * last entries stay in force.
  *
- * <p>When the watch breaks, the prefix is read anew at once: what changed before the break may have been missed, and is
- * hidden until then. Only where the last reading failed, or is no older than the pause, the pause comes first, so that a
- * service that cuts each watch at its start is not read in a loop.
+ * <p>When the watch breaks, the prefix is read again immediately, because changes before the break may have been
+ * missed. If the last read failed or is more recent than the pause, the pause elapses first, so that a store that
+ * closes each watch at its start is not read in a loop.
  */
 public final class PrefixFollower implements AutoCloseable {
     private static final KeyValueLog LOG = KeyValueLog.of(PrefixFollower.class);
-    private static final double LEAST_JITTER = 0.75;
+    private static final double MIN_JITTER = 0.75;
     private static final double JITTER_SPAN = 0.5;
     private static final int MAX_EVENTS = 2_048;
-    private static final long REMIND_MS = 250;
+    private static final long REDELIVERY_DELAY_MS = 250;
 
     private final KeyValueStore store;
     private final String prefix;
@@ -48,24 +48,25 @@
         thread.setDaemon(true);
     }
 
-    /** Hears of the prefix, on the follower's thread. */
+    /** Receives the entries of the prefix; called on the follower's thread. */
     public interface Listener {
-        /** These are the entries now: read, changed, or told once more. */
+        /** The current entries, after a read, a change or a redelivery. */
         void onEntries(Collection<Entry> entries);
 
-        /** Whether the entries are to be told once more in a moment, changed or not. */
+        /** Whether the entries are to be delivered again after 250 ms even if unchanged. */
         default boolean wantsRedelivery() {
             return false;
         }
 
-        /** The prefix cannot be read now. */
+        /** A read of the prefix failed. */
         default void onUnreadable(String reason) {}
     }
 
     /**
-     * Starts to follow.
+     * Starts to follow the prefix.
      *
-     * @param pauseMs the mean pause between two readings, and after one that failed; each one is a random 0.75 to 1.25 of it
+     * @param pauseMs the mean pause between two reads, and after a failed one; each is a random 0.75 to 1.25 times the
+     *     mean
      */
     public static PrefixFollower start(KeyValueStore store, String prefix, long pauseMs, long seed, Listener listener) {
         PrefixFollower follower = new PrefixFollower(store, prefix, pauseMs, seed, listener);
@@ -88,8 +89,8 @@
                     continue;
                 }
                 follow(range);
-                long readAgoMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - readAtNs);
-                TimeUnit.MILLISECONDS.sleep(Math.max(0, jitteredPauseMs() - readAgoMs));
+                long readAgeMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - readAtNs);
+                TimeUnit.MILLISECONDS.sleep(Math.max(0, jitteredPauseMs() - readAgeMs));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -97,7 +98,7 @@
     }
 
     private long jitteredPauseMs() {
-        return (long) (pauseMs * (LEAST_JITTER + JITTER_SPAN * random.nextDouble()));
+        return (long) (pauseMs * (MIN_JITTER + JITTER_SPAN * random.nextDouble()));
     }
 
     private @Nullable Range read() throws InterruptedException {
@@ -122,25 +123,25 @@
         return null;
     }
 
-    /** Hands on the entries as read and as they change, until the watch breaks. */
+    /** Delivers the entries as read and after each change, until the watch breaks. */
     private void follow(Range range) throws InterruptedException {
-        Following following = new Following(range);
-        tell(following);
-        AutoCloseable watch = store.watch(prefix, range.revision(), following::offer);
+        WatchedEntries watched = new WatchedEntries(range);
+        deliver(watched);
+        AutoCloseable watch = store.watch(prefix, range.revision(), watched::offer);
         try {
-            while (following.await()) {
-                tell(following);
+            while (watched.await()) {
+                deliver(watched);
             }
         } finally {
             close(watch);
         }
     }
 
-    private void tell(Following following) {
+    private void deliver(WatchedEntries watched) {
         try {
-            listener.onEntries(following.entries.values());
+            listener.onEntries(watched.entries.values());
         } catch (RuntimeException fault) {
-            // The next change is told all the same; ending here would freeze what the listener knows.
+            // The next change is still delivered; exiting here would leave the listener with outdated entries.
             LOG.error(fault, "followed_prefix_not_taken", "error", ErrorType.INTERNAL.number(), "prefix", prefix);
         }
     }
@@ -155,17 +156,19 @@
         }
     }
 
-    /** The entries between one read and the break of the watch that follows it. */
-    private final class Following {
+    /** The entries of one read, kept up to date by the watch that follows it until the watch breaks. */
+    private final class WatchedEntries {
         private final Map<String, Entry> entries = new TreeMap<>();
         private final MpscArrayQueue<WatchEvent> events = new MpscArrayQueue<>(MAX_EVENTS);
         private volatile boolean broken;
 
-        private Following(Range range) {
+        private WatchedEntries(Range range) {
             range.entries().forEach(entry -> entries.put(entry.key(), entry));
         }
 
-        /** Takes an event in, on the watch's thread. Where the ring is full the prefix is read anew, so none is lost. */
+        /**
+         * Accepts an event on the watch's thread. If the ring is full, the prefix is read again, so no change is lost.
+         */
         private void offer(WatchEvent event) {
             if (event instanceof WatchEvent.Progress) {
                 return;
@@ -176,12 +179,14 @@
             LockSupport.unpark(thread);
         }
 
-        /** Waits for changes, or for the time of a reminder, and applies them; false once the watch is broken. */
+        /**
+         * Blocks until there are changes or a redelivery is due, and applies changes; false once the watch is broken.
+         */
         private boolean await() throws InterruptedException {
-            boolean reminded = listener.wantsRedelivery();
-            long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REMIND_MS);
-            while (events.isEmpty() && !broken && !(reminded && System.nanoTime() - deadlineNs >= 0)) {
-                park(reminded ? deadlineNs - System.nanoTime() : Long.MAX_VALUE);
+            boolean redeliver = listener.wantsRedelivery();
+            long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REDELIVERY_DELAY_MS);
+            while (events.isEmpty() && !broken && !(redeliver && System.nanoTime() - deadlineNs >= 0)) {
+                park(redeliver ? deadlineNs - System.nanoTime() : Long.MAX_VALUE);
             }
             events.drain(this::apply);
             return !broken;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/SerialExecutor.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/SerialExecutor.java
@@ -7,7 +7,7 @@
 import org.marjoramswitch.daemon.log.KeyValueLog;
 import org.marjoramswitch.kernel.error.ErrorType;
 
-/** Runs tasks one after another, in their order, on threads of another executor. */
+/** Executor that runs tasks sequentially, in submission order, on threads of another executor. */
 final class SerialExecutor implements Executor {
     private static final KeyValueLog LOG = KeyValueLog.of(SerialExecutor.class);
 
@@ -39,7 +39,9 @@
         }
     }
 
-    /** A task that throws would otherwise leave those after it waiting for good: a watch without its later events. */
+    /**
+     * Logs what a task throws; otherwise the tasks after it would never run, and a watch would lose its later events.
+     */
     private static void runSafely(Runnable task) {
         try {
             task.run();
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/SharedWatchStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/SharedWatchStore.java
@@ -23,15 +23,15 @@
 import org.xnio.XnioExecutor;
 
 /**
- * A key-value service whose watches the instances of a data centre share, see {@link WatchSharing}. All other calls go to
- * the service.
+ * Key-value store whose watches the instances of a data centre share, see {@link WatchSharing}. All other calls are
+ * forwarded to the underlying store.
  *
- * <p>A watch of a prefix that was not read whole before it goes to the service too: without the entries there is nothing
- * that peers' copies could be compared with.
+ * <p>A watch of a prefix that was not read completely beforehand is forwarded too: without the entries, peers' copies
+ * can't be compared with anything.
  */
 public final class SharedWatchStore extends ForwardingKeyValueStore {
     private static final KeyValueLog LOG = KeyValueLog.of(SharedWatchStore.class);
-    /** The beat of the readers; a wake-up of every instance, so no more often. */
+    /** Heartbeat interval of the watchers. Each heartbeat wakes every instance, which rules out a shorter interval. */
     private static final long TICK_MS = 500;
 
     private final PeerSender peers;
@@ -53,23 +53,23 @@
     }
 
     /**
-     * Shares the watches of a service that tells {@link WatchEvent.Progress}.
+     * Shares the watches of a store that reports {@link WatchEvent.Progress}.
      *
-     * @param timer runs the ticks
+     * @param timer the executor of the periodic ticks
      */
     public static SharedWatchStore start(
             KeyValueStore store, Member self, PeerSender peers, LongSupplier clockMs, XnioExecutor timer) {
         SharedWatchStore shared = new SharedWatchStore(store, self, peers, clockMs, timer);
-        shared.tickLater();
+        shared.scheduleTick();
         return shared;
     }
 
-    /** The instances that are alive. */
+    /** Updates the set of live instances. */
     public synchronized void onView(FleetView view) {
         sharing.onView(view, clockMs.getAsLong());
     }
 
-    /** Takes a peer's message about watches; false for any other. */
+    /** Handles a peer's message about watches; false for any other message. */
     public synchronized boolean onMessage(InstanceId from, PeerMessage message) {
         return sharing.onMessage(from, message, clockMs.getAsLong(), this::perform);
     }
@@ -78,7 +78,7 @@
     public CompletableFuture<KeyValueResult<Range>> range(String prefix) {
         return super.range(prefix).thenApply(result -> {
             if (result instanceof KeyValueResult.Answered<Range> answered) {
-                noteRead(prefix, answered.value());
+                recordRead(prefix, answered.value());
             }
             return result;
         });
@@ -92,7 +92,7 @@
         }
         listeners.put(prefix, listener);
         List<WatchedEntry> entries =
-                read.entries().stream().map(SharedWatchStore::watched).toList();
+                read.entries().stream().map(SharedWatchStore::toWatchedEntry).toList();
         sharing.follow(prefix, afterRevision, entries, clockMs.getAsLong(), this::perform);
         return () -> unwatch(prefix, listener);
     }
@@ -101,23 +101,23 @@
     public void close() {
         synchronized (this) {
             closed = true;
-            List.copyOf(ownWatches.keySet()).forEach(this::stopReading);
+            List.copyOf(ownWatches.keySet()).forEach(this::stopOwnWatch);
         }
         super.close();
     }
 
-    private synchronized void noteRead(String prefix, Range range) {
+    private synchronized void recordRead(String prefix, Range range) {
         lastRead.put(prefix, range);
     }
 
     private synchronized void unwatch(String prefix, Consumer<WatchEvent> listener) {
         if (listeners.remove(prefix, listener)) {
-            stopReading(prefix);
+            stopOwnWatch(prefix);
             sharing.onWatchClosed(prefix);
         }
     }
 
-    private void tickLater() {
+    private void scheduleTick() {
         try {
             timer.executeAfter(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
@@ -132,10 +132,10 @@
         try {
             sharing.onTick(clockMs.getAsLong(), this::perform);
         } catch (RuntimeException fault) {
-            // Without ticks this instance would never notice that its readers are gone.
+            // Without ticks this instance would never detect that its watchers have failed.
             LOG.error(fault, "shared_watches_tick_failed", "error", ErrorType.INTERNAL.number());
         }
-        tickLater();
+        scheduleTick();
     }
 
     private void perform(WatchAction action) {
@@ -144,7 +144,7 @@
         } else if (action instanceof WatchAction.Notify notification) {
             Consumer<WatchEvent> listener = listeners.get(notification.prefix());
             if (listener != null) {
-                listener.accept(event(notification.change()));
+                listener.accept(toWatchEvent(notification.change()));
             }
         } else if (action instanceof WatchAction.StartWatch start) {
             LOG.info("watch_own", "prefix", start.prefix(), "afterRevision", start.afterRevision());
@@ -153,11 +153,11 @@
             own.watch = super.watch(start.prefix(), start.afterRevision(), own::onEvent);
         } else if (action instanceof WatchAction.StopWatch stop) {
             LOG.info("watch_by_peers", "prefix", stop.prefix());
-            stopReading(stop.prefix());
+            stopOwnWatch(stop.prefix());
         }
     }
 
-    private void stopReading(String prefix) {
+    private void stopOwnWatch(String prefix) {
         OwnWatch own = ownWatches.remove(prefix);
         if (own == null || own.watch == null) {
             return;
@@ -169,7 +169,7 @@
         }
     }
 
-    private synchronized void onOwn(OwnWatch own, WatchEvent event) {
+    private synchronized void onOwnWatchEvent(OwnWatch own, WatchEvent event) {
         String prefix = own.prefix;
         if (ownWatches.get(prefix) != own) {
             return;
@@ -179,7 +179,7 @@
             own.changes.clear();
             sharing.onWatchUpdate(prefix, seen.revision(), changes, clockMs.getAsLong(), this::perform);
         } else if (event instanceof WatchEvent.Put put) {
-            own.changes.add(watched(put.entry()));
+            own.changes.add(toWatchedEntry(put.entry()));
         } else if (event instanceof WatchEvent.Deleted deleted) {
             own.changes.add(WatchedEntry.removed(deleted.key(), deleted.revision()));
         } else {
@@ -192,11 +192,11 @@
         }
     }
 
-    private static WatchedEntry watched(Entry entry) {
+    private static WatchedEntry toWatchedEntry(Entry entry) {
         return new WatchedEntry(entry.key(), entry.value(), entry.createRevision(), entry.modRevision());
     }
 
-    private static WatchEvent event(WatchedEntry change) {
+    private static WatchEvent toWatchEvent(WatchedEntry change) {
         String value = change.value();
         long revision = change.revision();
         return value == null
@@ -204,7 +204,7 @@
                 : new WatchEvent.Put(new Entry(change.key(), value, change.createRevision(), revision, revision, 0));
     }
 
-    /** This instance's own watch of a prefix, and what it has brought of the answer that is being taken in. */
+    /** This instance's own watch of a prefix, and the changes received since its last progress event. */
     private final class OwnWatch {
         private final String prefix;
         private final List<WatchedEntry> changes = new ArrayList<>();
@@ -215,7 +215,7 @@
         }
 
         private void onEvent(WatchEvent event) {
-            onOwn(this, event);
+            onOwnWatchEvent(this, event);
         }
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/StoreClient.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/StoreClient.java
@@ -18,11 +18,11 @@
 import org.xnio.XnioWorker;
 
 /**
- * Calls to a key-value service that speaks HTTP with JSON bodies, over Undertow's client: connections, budget, timeouts
- * and what each failure means. Which calls there are and what stands in their bodies is the service's own matter.
+ * Client of a key-value store with an HTTP and JSON interface, over Undertow's client. Handles connections, the call
+ * budget, timeouts and the classification of failures; the callers define paths and bodies.
  *
- * <p>All connections and all state live on one IO thread of the worker. Results are completed on the worker's task
- * threads, so what a caller does with them cannot hold up the store.
+ * <p>All connections and state are confined to one I/O thread of the worker. Results are completed on the worker's task
+ * threads, so a slow callback can't block the client.
  */
 public final class StoreClient implements AutoCloseable {
     private static final KeyValueLog LOG = KeyValueLog.of(StoreClient.class);
@@ -45,9 +45,9 @@
     }
 
     /**
-     * A client of these addresses; connects with the first call.
+     * Creates a client of these addresses; connects on the first call.
      *
-     * @param revisionOf the service's revision in the body and headers of an answer, 0 where it has none
+     * @param revisionOf extracts the store's revision from the body and headers of a response, 0 if it has none
      */
     public static StoreClient start(
             List<HostPort> addresses,
@@ -55,10 +55,10 @@
             XnioWorker worker,
             MetricRegistry metrics,
             ToLongBiFunction<JsonNode, HeaderMap> revisionOf) {
-        return start(addresses, options, worker, metrics, revisionOf, StoreClient::steadyMs);
+        return start(addresses, options, worker, metrics, revisionOf, StoreClient::monotonicMs);
     }
 
-    /** As above, with a clock of the caller's own. */
+    /** As above, with the given clock. */
     static StoreClient start(
             List<HostPort> addresses,
             KeyValueOptions options,
@@ -70,8 +70,8 @@
         return new StoreClient(addresses, worker, runtime, revisionOf);
     }
 
-    /** The wall clock may be set while a call waits, and its time would then end at once or never. */
-    private static long steadyMs() {
+    /** Monotonic, because a change of the wall clock would expire waiting calls immediately or never. */
+    private static long monotonicMs() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
@@ -83,7 +83,7 @@
         return caller;
     }
 
-    /** A call that changes nothing; made again within its time where no answer came. */
+    /** Sends a call without side effects; retried until its deadline if no response is received. */
     public <T extends @Nullable Object> CompletableFuture<KeyValueResult<T>> read(
             String method, String path, String body, Function<JsonNode, T> decode) {
         Pending<T> pending = new Pending<>(path, decode, runtime.nowMs());
@@ -91,7 +91,7 @@
         return pending.result();
     }
 
-    /** A call that changes something; never made again once it may have arrived. */
+    /** Sends a call with side effects; never retried once it may have arrived. */
     public <T extends @Nullable Object> CompletableFuture<KeyValueResult<T>> write(
             String method, String path, String body, Function<JsonNode, T> decode) {
         Pending<T> pending = new Pending<>(path, decode, runtime.nowMs());
@@ -99,7 +99,7 @@
         return pending.result();
     }
 
-    /** A call that the service may leave unanswered for a while, made once. */
+    /** Sends a long-polling call, at most once; the store may delay its response up to the timeout. */
     public <T extends @Nullable Object> CompletableFuture<KeyValueResult<T>> poll(
             String method, String path, long timeoutMs, Function<JsonNode, T> decode) {
         Pending<T> pending = new Pending<>(path, decode, runtime.nowMs());
@@ -108,12 +108,12 @@
         return pending.result();
     }
 
-    /** The steady time by which calls are timed. */
+    /** Current time of the monotonic clock used for timeouts. */
     public long nowMs() {
         return runtime.nowMs();
     }
 
-    /** Runs a task later, on the IO thread; it must not block. */
+    /** Runs a task on the I/O thread after a delay; the task must not block. */
     public void after(long delayMs, Runnable task) {
         try {
             runtime.after(delayMs, task);
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Calls made so far. */
+    /** Number of calls made so far. */
     public long calls() {
         return runtime.metrics().calls();
     }
@@ -144,7 +144,7 @@
         try {
             runtime.ioThread().execute(() -> caller.start(call));
         } catch (RejectedExecutionException e) {
-            call.end(new GatewayCall.Outcome.NotSent("the worker is stopped"));
+            call.complete(new GatewayCall.Outcome.NotSent("the worker is stopped"));
         }
     }
 
@@ -161,7 +161,7 @@
     private <T extends @Nullable Object> KeyValueResult<T> resultOf(
             Pending<T> pending, GatewayCall.Outcome outcome, long tookMs) {
         KeyValueResult<T> result = interpret(outcome, pending.decode());
-        runtime.metrics().ended(result.getClass().getSimpleName());
+        runtime.metrics().countResult(result.getClass().getSimpleName());
         if (result instanceof KeyValueResult.Rejected<T> rejected) {
             LOG.warn(
                     "platform_call_rejected",
@@ -184,22 +184,22 @@
         if (outcome instanceof GatewayCall.Outcome.NotSent notSent) {
             return new KeyValueResult.NotSent<>(notSent.reason());
         }
-        if (outcome instanceof GatewayCall.Outcome.Cut cut) {
-            return new KeyValueResult.OutcomeUnknown<>(cut.reason());
+        if (outcome instanceof GatewayCall.Outcome.Failed failed) {
+            return new KeyValueResult.OutcomeUnknown<>(failed.reason());
         }
-        GatewayCall.Outcome.Answer answer = (GatewayCall.Outcome.Answer) outcome;
-        if (answer.status() != HTTP_OK) {
-            return new KeyValueResult.Rejected<>(answer.status(), GatewayCodec.errorMessage(answer.body()));
+        GatewayCall.Outcome.Response response = (GatewayCall.Outcome.Response) outcome;
+        if (response.status() != HTTP_OK) {
+            return new KeyValueResult.Rejected<>(response.status(), GatewayCodec.errorMessage(response.body()));
         }
         try {
-            JsonNode body = GatewayCodec.parse(answer.body());
-            return new KeyValueResult.Answered<>(decode.apply(body), revisionOf.applyAsLong(body, answer.headers()));
+            JsonNode body = GatewayCodec.parse(response.body());
+            return new KeyValueResult.Answered<>(decode.apply(body), revisionOf.applyAsLong(body, response.headers()));
         } catch (IOException | IllegalArgumentException e) {
             return new KeyValueResult.OutcomeUnknown<>("unreadable answer: " + e.getMessage());
         }
     }
 
-    /** A call whose outcome is awaited. */
+    /** A call in progress. */
     private record Pending<T extends @Nullable Object>(
             String path, Function<JsonNode, T> decode, long startedAtMs, CompletableFuture<KeyValueResult<T>> result) {
         private Pending(String path, Function<JsonNode, T> decode, long startedAtMs) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/TokenBucket.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/TokenBucket.java
@@ -1,28 +1,28 @@
 package org.marjoramswitch.daemon.platform;
 
-/** A rate limit with a burst: {@code perSecond} tokens flow in each second, at most {@code burst} are kept. */
+/** Rate limiter with a burst: refilled with {@code perSecond} tokens per second, up to {@code burst} tokens. */
 final class TokenBucket {
     private static final double MS_PER_SECOND = 1_000;
 
     private final double perMs;
     private final double burst;
     private double tokens;
-    private long filledAtMs;
+    private long refilledAtMs;
 
     private TokenBucket(double perSecond, double burst, long nowMs) {
         this.perMs = perSecond / MS_PER_SECOND;
         this.burst = burst;
         this.tokens = burst;
-        this.filledAtMs = nowMs;
+        this.refilledAtMs = nowMs;
     }
 
     static TokenBucket full(double perSecond, double burst, long nowMs) {
         return new TokenBucket(perSecond, burst, nowMs);
     }
 
-    /** Takes a token where there is one. */
+    /** Takes a token if one is available. */
     boolean tryTake(long nowMs) {
-        fill(nowMs);
+        refill(nowMs);
         if (tokens < 1) {
             return false;
         }
@@ -30,15 +30,15 @@
         return true;
     }
 
-    /** How long until a token is there, 0 where there is one. */
+    /** Time until a token is available, 0 if one is. */
     long waitMs(long nowMs) {
-        fill(nowMs);
+        refill(nowMs);
         return tokens >= 1 ? 0 : (long) Math.ceil((1 - tokens) / perMs);
     }
 
-    private void fill(long nowMs) {
-        long elapsedMs = Math.max(0, nowMs - filledAtMs);
+    private void refill(long nowMs) {
+        long elapsedMs = Math.max(0, nowMs - refilledAtMs);
         tokens = Math.min(burst, tokens + elapsedMs * perMs);
-        filledAtMs = nowMs;
+        refilledAtMs = nowMs;
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/WatchSchedule.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/WatchSchedule.java
@@ -5,29 +5,30 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * When the waiting calls of the watches of one service end, and what the loss of one means for the others.
+ * Schedules the ends of the waiting calls of one store's watches, and closes all watches if one of them loses its
+ * connection.
  *
- * <p>A call that waits tells only at its end whether its connection still works. What makes connections go silent, a table
- * lost by something between the two ends, does so to all of them together. So the calls end in phase, spread evenly over
- * a round, and one that ends without an answer puts all watches in doubt, which are then read anew. A silence is noticed
- * after a part of a round in place of a whole one, at the same number of calls.
+ * <p>A waiting call shows only at its end whether its connection still works. The usual cause of silent connections, a
+ * middlebox that loses its connection table, affects all connections at once. The calls therefore end in round-robin
+ * order, evenly spread over a period, and one that ends without a response closes all watches; each is re-established
+ * with a full read. A silent failure is thus detected within a fraction of a period, at the same number of calls.
  *
- * <p>Why it holds: whenever connections go silent, each watch has a call waiting that ends by its next phase, or is about to
- * begin one; the turns of {@value #TURNS} watches are {@value #ROUND_MS} / {@value #TURNS} ms apart.
+ * <p>Correctness: whenever connections go silent, each watch has a call waiting that ends by its next phase, or is
+ * about to begin one; the phases of {@value #PHASES} watches are {@value #PERIOD_MS} / {@value #PHASES} ms apart.
  *
- * <p>Odd cases: watches beyond the number of turns share one. A call that begins right before its phase waits for
- * {@value #LEAST_WAIT_MS} ms, so that none returns at once. Fewer watches than turns leave turns empty, and a silence is
- * noticed that much later.
+ * <p>Edge cases: watches beyond the number of phases share one. A call that begins right before its phase waits for
+ * {@value #MIN_WAIT_MS} ms, so that none returns immediately. With fewer watches than phases some phases are unused,
+ * and a silent failure is detected correspondingly later.
  */
 public final class WatchSchedule {
-    /** The time from one call of a quiet watch to its next one: a third of a call a second and watch. */
-    private static final long ROUND_MS = 3_000;
-    /** An instance watches three prefixes: the list of instances, the settings and the targets. */
-    private static final int TURNS = 3;
-    /** Below it a call costs more than its waiting spares. */
-    private static final long LEAST_WAIT_MS = 100;
+    /** Interval between two calls of an idle watch, that is, a third of a call per second and watch. */
+    private static final long PERIOD_MS = 3_000;
+    /** One per prefix that an instance watches: the list of instances, the settings and the targets. */
+    private static final int PHASES = 3;
+    /** Below this, a call costs more than its wait saves. */
+    private static final long MIN_WAIT_MS = 100;
 
-    private final @Nullable Phase[] taken = new Phase[TURNS];
+    private final @Nullable Phase[] phases = new Phase[PHASES];
     private final List<Phase> members = new ArrayList<>();
 
     private WatchSchedule() {}
@@ -37,70 +38,71 @@
     }
 
     /**
-     * A watch begins.
+     * Adds a watch.
      *
-     * @param onConnectionLost told, by the thread of any watch, that the connections may all be silent and the watch is over
+     * @param onConnectionLost called, on any watch's thread, when all connections may be silent; the watch is then
+     *     closed
      */
     public synchronized Phase join(Runnable onConnectionLost) {
-        int place = freePlace();
-        Phase phase = new Phase(place, onConnectionLost);
-        if (taken[place] == null) {
-            taken[place] = phase;
+        int index = freeIndex();
+        Phase phase = new Phase(index, onConnectionLost);
+        if (phases[index] == null) {
+            phases[index] = phase;
         }
         members.add(phase);
         return phase;
     }
 
-    private int freePlace() {
-        for (int place = 0; place < TURNS; place++) {
-            if (taken[place] == null) {
-                return place;
+    private int freeIndex() {
+        for (int index = 0; index < PHASES; index++) {
+            if (phases[index] == null) {
+                return index;
             }
         }
-        return members.size() % TURNS;
+        return members.size() % PHASES;
     }
 
-    /** All watches are over, and are told so: what they go by holds no longer. */
+    /** Closes all watches and notifies them. */
     public void closeAll() {
-        dismiss().forEach(phase -> phase.onConnectionLost.run());
+        removeAll().forEach(phase -> phase.onConnectionLost.run());
     }
 
     private synchronized void leave(Phase phase) {
         members.remove(phase);
-        if (taken[phase.place] == phase) {
-            taken[phase.place] = null;
+        if (phases[phase.index] == phase) {
+            phases[phase.index] = null;
         }
     }
 
-    /** All members, none of which is one from now on. */
-    private synchronized List<Phase> dismiss() {
-        List<Phase> dismissed = List.copyOf(members);
-        dismissed.forEach(this::leave);
-        return dismissed;
+    /** Removes and returns all members. */
+    private synchronized List<Phase> removeAll() {
+        List<Phase> removed = List.copyOf(members);
+        removed.forEach(this::leave);
+        return removed;
     }
 
-    /** One watch's phase in the round. */
+    /** A watch's phase within the period. */
     public final class Phase {
-        private final int place;
+        private final int index;
         private final Runnable onConnectionLost;
 
-        private Phase(int place, Runnable onConnectionLost) {
-            this.place = place;
+        private Phase(int index, Runnable onConnectionLost) {
+            this.index = index;
             this.onConnectionLost = onConnectionLost;
         }
 
-        /** How long a call that begins now is to wait. */
+        /** Wait time of a call that begins now. */
         public long waitMs(long nowMs) {
-            long untilTurnMs = Math.floorMod(place * (ROUND_MS / TURNS) - nowMs, ROUND_MS);
-            return Math.max(LEAST_WAIT_MS, untilTurnMs);
+            long untilPhaseMs = Math.floorMod(index * (PERIOD_MS / PHASES) - nowMs, PERIOD_MS);
+            return Math.max(MIN_WAIT_MS, untilPhaseMs);
         }
 
-        /** The watch's call ended without an answer: all watches are over, and are told so. */
+        /** The watch's call ended without a response; closes all watches. */
         public void onCallUnanswered() {
             closeAll();
         }
 
-        /** The watch is over. */
+        /** Removes the watch from the schedule. */
         public void leave() {
             WatchSchedule.this.leave(this);
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/package-info.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/package-info.java
@@ -1,4 +1,4 @@
-/** The platform's key-value service and its list of instances and targets. */
+/** Client of the platform's key-value store, and its list of instances and targets. */
 @NullMarked
 package org.marjoramswitch.daemon.platform;
 
