--- a/daemon/src/main/java/org/marjoramswitch/daemon/Daemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/Daemon.java
@@ -10,7 +10,7 @@
 import org.marjoramswitch.daemon.caller.Claims;
 import org.marjoramswitch.daemon.caller.Health;
 import org.marjoramswitch.daemon.caller.RequestKeys;
-import org.marjoramswitch.daemon.configuration.ConfigurationDuty;
+import org.marjoramswitch.daemon.configuration.ConfigurationLoop;
 import org.marjoramswitch.daemon.configuration.ConfigurationOptions;
 import org.marjoramswitch.daemon.core.KernelStatus;
 import org.marjoramswitch.daemon.exchange.TargetClient;
@@ -48,7 +48,7 @@
     private final LocalSettings settings;
     private final Parts parts;
     private final InstanceCore core;
-    private final ConfigurationDuty configuration;
+    private final ConfigurationLoop configuration;
     private final CallerServer callers;
     private @Nullable UndertowTargetClient targets;
     private volatile FleetSettings fleetSettings = FleetSettings.NONE;
@@ -68,7 +68,7 @@
         EtcdGatewayStore store = startStore();
         core.keepCrashesIn(store);
         startLoadReader();
-        this.configuration = parts.add(ConfigurationDuty.start(
+        this.configuration = parts.add(ConfigurationLoop.start(
                 core.self(), store, core.peers(), this::onSettings, ConfigurationOptions.DEFAULT, core.metrics()));
         RequestKeys keys = RequestKeys.create(
                 core.self(), callerOptions, core.peers(), core.directory(), core.clock(), System::currentTimeMillis);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/AcceptanceRound.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/AcceptanceRound.java
@@ -34,7 +34,7 @@
     private static final long NO_LEASE = 0;
     private static final long ABSENT = 0;
 
-    private final DutyParts parts;
+    private final LoopContext parts;
     private final StoreCalls calls;
     private final RepairDelay repairDelay;
     private final boolean accepts;
@@ -51,7 +51,7 @@
     private boolean over;
 
     private AcceptanceRound(
-            DutyParts parts, StoreCalls calls, RepairDelay repairDelay, boolean accepts, Ending ending, long nowMs) {
+            LoopContext parts, StoreCalls calls, RepairDelay repairDelay, boolean accepts, Ending ending, long nowMs) {
         this.parts = parts;
         this.calls = calls;
         this.repairDelay = repairDelay;
@@ -67,7 +67,7 @@
      * @param ending hears once of its end
      */
     static AcceptanceRound start(
-            DutyParts parts, StoreCalls calls, RepairDelay repairDelay, boolean accepts, Ending ending, long nowMs) {
+            LoopContext parts, StoreCalls calls, RepairDelay repairDelay, boolean accepts, Ending ending, long nowMs) {
         AcceptanceRound round = new AcceptanceRound(parts, calls, repairDelay, accepts, ending, nowMs);
         parts.metrics().rounds().inc();
         round.call(parts.store().range(SettingsKeys.ACCEPTED), round::onAccepted);
@@ -211,7 +211,7 @@
         writeRefusals(nowMs);
     }
 
-    private SettingsInForce inForce() {
+    private ActiveSettings inForce() {
         return parts.inForce();
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/SettingsInForce.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ActiveSettings.java
@@ -12,8 +12,8 @@
 import org.marjoramswitch.kernel.configuration.GenerationHolder;
 
 /** The generation that this instance holds, with those who hear of a new one. Used by the duty's thread alone. */
-final class SettingsInForce {
-    private static final KeyValueLog LOG = KeyValueLog.of(SettingsInForce.class);
+final class ActiveSettings {
+    private static final KeyValueLog LOG = KeyValueLog.of(ActiveSettings.class);
 
     private final GenerationHolder holder = GenerationHolder.create();
     private final List<Consumer<AcceptedTree>> listeners = new ArrayList<>();
@@ -21,14 +21,14 @@
     private final Counter incomplete;
     private volatile long generation;
 
-    private SettingsInForce(MetricRegistry registry) {
+    private ActiveSettings(MetricRegistry registry) {
         contradictions = registry.counter("configuration.contradictions");
         incomplete = registry.counter("configuration.incomplete");
         registry.gauge("configuration.generation", () -> () -> generation);
     }
 
-    static SettingsInForce create(MetricRegistry registry) {
-        return new SettingsInForce(registry);
+    static ActiveSettings create(MetricRegistry registry) {
+        return new ActiveSettings(registry);
     }
 
     void onAdopted(Consumer<AcceptedTree> listener) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ConfigurationDuty.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ConfigurationLoop.java
@@ -15,31 +15,31 @@
 
 /**
  * The duty that keeps the newest accepted settings in force at this instance: one thread that reads its tasks from one
- * bounded ring. {@link SettingsPublisher} speaks with the platform's service, {@link SettingsSpreader} with peers, and
- * {@link SettingsInForce} holds what is in force.
+ * bounded ring. {@link SettingsPublisher} speaks with the platform's service, {@link SettingsGossip} with peers, and
+ * {@link ActiveSettings} holds what is in force.
  *
  * <p>When the ring is full a task is dropped and counted, and each kind is made up for: a peer's head or query comes
  * again, a lost reply of the service ends its round by timeout, a lost event of the watch makes the next round read
  * all. Only the membership view would not come again, so the newest one is kept beside the ring.
  */
-public final class ConfigurationDuty implements AutoCloseable {
-    private static final KeyValueLog LOG = KeyValueLog.of(ConfigurationDuty.class);
+public final class ConfigurationLoop implements AutoCloseable {
+    private static final KeyValueLog LOG = KeyValueLog.of(ConfigurationLoop.class);
     private static final int RING_CAPACITY = 1_024;
     private static final long MAX_WAIT_MS = 1_000;
     private static final long JOIN_MS = 5_000;
 
-    private final SettingsInForce inForce;
-    private final SettingsSpreader spreader;
+    private final ActiveSettings inForce;
+    private final SettingsGossip spreader;
     private final SettingsPublisher publisher;
     private final ConfigurationMetrics metrics;
-    private final MpscBlockingConsumerArrayQueue<DutyTask> ring = new MpscBlockingConsumerArrayQueue<>(RING_CAPACITY);
+    private final MpscBlockingConsumerArrayQueue<LoopTask> ring = new MpscBlockingConsumerArrayQueue<>(RING_CAPACITY);
     private final Thread thread;
     private final long startNs = System.nanoTime();
     private volatile @Nullable FleetView newestView;
     private volatile boolean closed;
     private @Nullable FleetView view;
 
-    private ConfigurationDuty(
+    private ConfigurationLoop(
             Member self,
             KeyValueStore store,
             PeerSender peers,
@@ -48,23 +48,23 @@
             MetricRegistry registry) {
         SplittableRandom random = new SplittableRandom(self.id().hashCode() ^ self.incarnation());
         this.metrics = ConfigurationMetrics.in(registry);
-        this.inForce = SettingsInForce.create(registry);
-        DutyParts parts = new DutyParts(self.id(), store, peers, this::offer, inForce, options, metrics);
-        this.spreader = SettingsSpreader.of(parts, random.split());
+        this.inForce = ActiveSettings.create(registry);
+        LoopContext parts = new LoopContext(self.id(), store, peers, this::offer, inForce, options, metrics);
+        this.spreader = SettingsGossip.of(parts, random.split());
         this.publisher = SettingsPublisher.of(parts, random.split());
         this.inForce.onAdopted(tree -> listener.onSettings(tree.settings()));
         this.thread = new Thread(this::run, "configuration");
     }
 
     /** Starts the duty; with the first view it takes its part. */
-    public static ConfigurationDuty start(
+    public static ConfigurationLoop start(
             Member self,
             KeyValueStore store,
             PeerSender peers,
             ConfigurationListener listener,
             ConfigurationOptions options,
             MetricRegistry registry) {
-        ConfigurationDuty duty = new ConfigurationDuty(self, store, peers, listener, options, registry);
+        ConfigurationLoop duty = new ConfigurationLoop(self, store, peers, listener, options, registry);
         duty.thread.start();
         return duty;
     }
@@ -110,7 +110,7 @@
         }
     }
 
-    private boolean offer(DutyTask task) {
+    private boolean offer(LoopTask task) {
         if (ring.offer(task)) {
             return true;
         }
@@ -135,7 +135,7 @@
     private void step() throws InterruptedException {
         long dueMs = Math.min(publisher.nextMs(), spreader.nextMs());
         long waitMs = Math.max(0, Math.min(dueMs - nowMs(), MAX_WAIT_MS));
-        DutyTask task = ring.poll(waitMs, TimeUnit.MILLISECONDS);
+        LoopTask task = ring.poll(waitMs, TimeUnit.MILLISECONDS);
         long nowMs = nowMs();
         takeView(nowMs);
         if (task != null) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/DraftWatch.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/DraftWatch.java
@@ -13,7 +13,7 @@
 final class DraftWatch {
     private static final KeyValueLog LOG = KeyValueLog.of(DraftWatch.class);
 
-    private final DutyParts parts;
+    private final LoopContext parts;
     private final Listener listener;
     private final Map<String, Change> pending = new TreeMap<>();
     private @Nullable AutoCloseable watch;
@@ -21,12 +21,12 @@
     private long revision;
     private volatile boolean overflowed;
 
-    private DraftWatch(DutyParts parts, Listener listener) {
+    private DraftWatch(LoopContext parts, Listener listener) {
         this.parts = parts;
         this.listener = listener;
     }
 
-    static DraftWatch of(DutyParts parts, Listener listener) {
+    static DraftWatch of(LoopContext parts, Listener listener) {
         return new DraftWatch(parts, listener);
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/DutyParts.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/LoopContext.java
@@ -5,11 +5,11 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /** What the parts of one instance's duty share. */
-record DutyParts(
+record LoopContext(
         InstanceId self,
         KeyValueStore store,
         PeerSender peers,
-        DutyInbox inbox,
-        SettingsInForce inForce,
+        LoopInbox inbox,
+        ActiveSettings inForce,
         ConfigurationOptions options,
         ConfigurationMetrics metrics) {}
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/SettingsSpreader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/SettingsGossip.java
@@ -32,7 +32,7 @@
  * <p>Cost for each instance: one head each few seconds; for each change some heads, one query and the bodies of the
  * changed teams once in, and out as often as others ask this instance, once on average.
  */
-final class SettingsSpreader {
+final class SettingsGossip {
     /**
      * Room for all that chose this instance as a partner, three on average. Where one of them was pushed out and nobody
      * chose it, it would hear of a change only when it asks by itself: seconds instead of milliseconds.
@@ -40,7 +40,7 @@
     private static final int MAX_RECENT = 24;
 
     private final InstanceId self;
-    private final SettingsInForce inForce;
+    private final ActiveSettings inForce;
     private final PeerSender peers;
     private final ConfigurationOptions options;
     private final SplittableRandom random;
@@ -51,7 +51,7 @@
     private @Nullable Query query;
     private long announceAtMs;
 
-    private SettingsSpreader(DutyParts parts, SplittableRandom random) {
+    private SettingsGossip(LoopContext parts, SplittableRandom random) {
         this.self = parts.self();
         this.inForce = parts.inForce();
         this.peers = parts.peers();
@@ -59,8 +59,8 @@
         this.random = random;
     }
 
-    static SettingsSpreader of(DutyParts parts, SplittableRandom random) {
-        SettingsSpreader spreader = new SettingsSpreader(parts, random);
+    static SettingsGossip of(LoopContext parts, SplittableRandom random) {
+        SettingsGossip spreader = new SettingsGossip(parts, random);
         parts.inForce().onAdopted(tree -> spreader.announce());
         return spreader;
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/SettingsPublisher.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/SettingsPublisher.java
@@ -34,7 +34,7 @@
     private static final long NEVER = Long.MAX_VALUE;
     private static final int MAX_DOUBLINGS = 10;
 
-    private final DutyParts parts;
+    private final LoopContext parts;
     private final StoreCalls calls;
     private final SplittableRandom random;
     private final RepairDelay repairDelay;
@@ -49,7 +49,7 @@
     private long knownRevision;
     private long headRevision;
 
-    private SettingsPublisher(DutyParts parts, SplittableRandom random) {
+    private SettingsPublisher(LoopContext parts, SplittableRandom random) {
         this.parts = parts;
         this.calls = StoreCalls.of(parts.inbox());
         this.random = random;
@@ -57,7 +57,7 @@
         this.watch = DraftWatch.of(parts, this);
     }
 
-    static SettingsPublisher of(DutyParts parts, SplittableRandom random) {
+    static SettingsPublisher of(LoopContext parts, SplittableRandom random) {
         SettingsPublisher publisher = new SettingsPublisher(parts, random);
         parts.inForce().onAdopted(publisher::onAdopted);
         return publisher;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/StoreCalls.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/StoreCalls.java
@@ -6,13 +6,13 @@
 
 /** Brings the results of calls to the platform's service back to the duty's thread. */
 final class StoreCalls {
-    private final DutyInbox inbox;
+    private final LoopInbox inbox;
 
-    private StoreCalls(DutyInbox inbox) {
+    private StoreCalls(LoopInbox inbox) {
         this.inbox = inbox;
     }
 
-    static StoreCalls of(DutyInbox inbox) {
+    static StoreCalls of(LoopInbox inbox) {
         return new StoreCalls(inbox);
     }
 
--- a/daemon/src/test/java/org/marjoramswitch/daemon/configuration/ConfigurationDutyTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/configuration/ConfigurationLoopTest.java
@@ -17,7 +17,7 @@
 import org.marjoramswitch.kernel.message.PeerMessage;
 import org.marjoramswitch.kernel.model.InstanceId;
 
-class ConfigurationDutyTest {
+class ConfigurationLoopTest {
     private static final String KEY = "settings/floor/base";
     private static final int INSTANCES = 9;
 
--- a/daemon/src/test/java/org/marjoramswitch/daemon/configuration/FakeFleet.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/configuration/FakeFleet.java
@@ -31,7 +31,7 @@
 
     private final Supplier<KeyValueStore> stores;
     private final ConfigurationOptions options;
-    private final Map<InstanceId, ConfigurationDuty> duties = new ConcurrentSkipListMap<>();
+    private final Map<InstanceId, ConfigurationLoop> duties = new ConcurrentSkipListMap<>();
     private final Map<InstanceId, List<FleetSettings>> applied = new ConcurrentHashMap<>();
     private final Map<InstanceId, MetricRegistry> registries = new ConcurrentHashMap<>();
     private final Set<InstanceId> cutOff = ConcurrentHashMap.newKeySet();
@@ -66,7 +66,7 @@
         InstanceId id = member.id();
         applied.put(id, new CopyOnWriteArrayList<>());
         registries.put(id, new MetricRegistry());
-        ConfigurationDuty duty = ConfigurationDuty.start(
+        ConfigurationLoop duty = ConfigurationLoop.start(
                 member,
                 stores.get(),
                 (to, message) -> deliver(id, to, message),
@@ -94,13 +94,13 @@
 
     private void deliver(InstanceId from, InstanceId to, PeerMessage message) {
         messages.merge(message.getClass().getSimpleName(), 1L, Long::sum);
-        ConfigurationDuty duty = duties.get(to);
+        ConfigurationLoop duty = duties.get(to);
         if (duty != null && !cutOff.contains(from) && !cutOff.contains(to)) {
             duty.onMessage(from, message);
         }
     }
 
-    ConfigurationDuty duty(int number) {
+    ConfigurationLoop duty(int number) {
         return duties.get(member(number).id());
     }
 
@@ -167,6 +167,6 @@
 
     @Override
     public void close() {
-        duties.values().forEach(ConfigurationDuty::close);
+        duties.values().forEach(ConfigurationLoop::close);
     }
 }
