--- a/daemon/src/main/java/org/marjoramswitch/daemon/Daemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/Daemon.java
@@ -78,7 +78,7 @@
                 configuration::onMessage,
                 keys::onMessage,
                 configuration::onView,
-                seen -> configuration.generationSeen(seen.instance(), seen.generation()));
+                seen -> configuration.onGenerationAnnounced(seen.instance(), seen.generation()));
         parts.add(FleetListReader.start(
                 store, FleetListReader.DEFAULT_PERIOD_MS, core.clock().startMs(), core.metrics(), core::onList));
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
@@ -92,7 +92,7 @@
                 (from, message) -> store.onMessage(from, message) || configuration.onMessage(from, message),
                 PeerRouter.Keys.NONE,
                 store::onView,
-                seen -> configuration.versionSeen(seen.instance(), seen.generation()));
+                seen -> configuration.onVersionAnnounced(seen.instance(), seen.generation()));
         parts.add(TargetList.start(
                 store, platform.targetPrefix(), platform.targetDecoder(), this::onTargets, core.clock()));
         InstanceRegistration registration = parts.add(InstanceRegistration.start(store, local));
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardHandler.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardHandler.java
@@ -117,7 +117,7 @@
             // An HTTP/1.0 response ends with its connection, so a partial one is indistinguishable from a complete one.
             return Failure.notRun(ErrorType.MALFORMED_REQUEST, 0, "HTTP/1.1 is required");
         }
-        if (route.open() || !current.keysNeeded()) {
+        if (route.open() || !current.keyRequired()) {
             caller.identify(RoutedCall.NO_CUSTOMER);
         } else {
             CustomerId customer = apiKeys.customer(
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/RoutedCall.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/RoutedCall.java
@@ -46,7 +46,7 @@
                 customer,
                 pool.id(),
                 settings.priorities().getOrDefault(customer, route.priority()),
-                route.kind().repeatable(),
+                route.kind().isRepeatable(),
                 metadata.prompt().stream().mapToLong(PromptPart::tokens).sum(),
                 metadata.expectedOutputTokens(),
                 0,
@@ -63,7 +63,7 @@
                         pathAndQuery(exchange),
                         decoder.forTarget(headers, customer.equals(NO_CUSTOMER) ? null : customer),
                         body,
-                        route.kind().streaming())
+                        route.kind().isStreaming())
                 .withTimeouts(nowNs + callerTimeoutMs() * NS_PER_MS, silenceMs());
     }
 
@@ -71,7 +71,7 @@
         if (pool.kind() != TargetKind.MODEL_ENGINE) {
             return PlacementSpec.plain(objectiveAtMs, route.attempts());
         }
-        boolean resumable = route.kind().repeatable() && route.kind().streaming();
+        boolean resumable = route.kind().isRepeatable() && route.kind().isStreaming();
         return new PlacementSpec(metadata.prompt(), outputTokens(), objectiveAtMs, route.attempts(), resumable);
     }
 
@@ -86,7 +86,7 @@
 
     /** Maximum time without progress of a target; the route's timeout if the request cannot be retried elsewhere. */
     private long silenceMs() {
-        if (!route.kind().repeatable()) {
+        if (!route.kind().isRepeatable()) {
             return route.timeoutMs();
         }
         long objectivesMs = CALLER_PROGRESS_TIMEOUT_OBJECTIVES * route.objectiveMs();
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/AcceptanceRound.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/AcceptanceRound.java
@@ -106,7 +106,7 @@
                 headRevision = entry.modRevision();
             }
         }
-        recorded = AcceptedTree.recorded(acceptedByKey);
+        recorded = AcceptedTree.fromStore(acceptedByKey);
         if (recorded.generation() > 0) {
             adopt(recorded, "platform");
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ConfigurationLoop.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ConfigurationLoop.java
@@ -90,7 +90,7 @@
     }
 
     /** Takes the generation that the membership announces for a peer. */
-    public void generationSeen(InstanceId peer, long generation) {
+    public void onGenerationAnnounced(InstanceId peer, long generation) {
         offer(nowMs -> spreader.onSeen(peer, generation, nowMs));
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/RoutedSettingsLoop.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/RoutedSettingsLoop.java
@@ -111,7 +111,7 @@
     }
 
     /** A peer announces that it holds this version. */
-    public void versionSeen(InstanceId peer, long version) {
+    public void onVersionAnnounced(InstanceId peer, long version) {
         synchronized (this) {
             long nowMs = clockMs.getAsLong();
             if (version <= inForce.version() || nowMs - askedAtMs < QUERY_TIMEOUT_MS) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/route/RouteKind.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/route/RouteKind.java
@@ -12,11 +12,11 @@
     RESUMABLE_STREAM;
 
     /** Whether a request may be sent again after a target may have executed it. */
-    public boolean repeatable() {
+    public boolean isRepeatable() {
         return this == IDEMPOTENT || this == RESUMABLE_STREAM;
     }
 
-    public boolean streaming() {
+    public boolean isStreaming() {
         return this == STREAM || this == RESUMABLE_STREAM;
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/route/RoutedSettings.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/route/RoutedSettings.java
@@ -13,7 +13,7 @@
  * @param version grows with every change
  * @param priorities of the customers that have one of their own, which goes before their route's
  * @param memories of each engine of a pool, for the pools whose engines' memory is known
- * @param keysNeeded whether callers need a key at all
+ * @param keyRequired whether callers need a key at all
  */
 public record RoutedSettings(
         long version,
@@ -22,7 +22,7 @@
         Map<PoolId, EngineMemory> memories,
         Map<CustomerId, CustomerSettings> customers,
         Map<CustomerId, Integer> priorities,
-        boolean keysNeeded,
+        boolean keyRequired,
         CallerLimits limits) {
     public static final RoutedSettings NONE = new RoutedSettings(
             0, RouteTable.EMPTY, Map.of(), Map.of(), Map.of(), Map.of(), false, CallerLimits.DEFAULT);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/AcceptedTree.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/AcceptedTree.java
@@ -46,7 +46,7 @@
      * The tree in the platform's service, from all entries under {@link SettingsKeys#ACCEPTED}; {@link #NONE} where it
      * has no head or the bodies do not belong to it.
      */
-    public static AcceptedTree recorded(Map<String, String> valueByKey) {
+    public static AcceptedTree fromStore(Map<String, String> valueByKey) {
         String headJson = valueByKey.get(SettingsKeys.HEAD);
         AcceptedHead head = headJson == null ? null : AcceptedHead.parse(headJson);
         if (head == null) {
--- a/tool/src/main/java/org/marjoramswitch/tool/fleet/FleetReader.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/fleet/FleetReader.java
@@ -68,7 +68,7 @@
 
     /** The accepted settings; {@link FleetSettings#NONE} before the first acceptance. */
     public FleetSettings settings() throws UnavailableException {
-        return AcceptedTree.recorded(view.values(SettingsKeys.ACCEPTED)).settings();
+        return AcceptedTree.fromStore(view.values(SettingsKeys.ACCEPTED)).settings();
     }
 
     /** The platform's state of each target that it lists. */
