--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ActiveSettings.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ActiveSettings.java
@@ -50,7 +50,7 @@
 
     /** Notes that a generation exists somewhere. */
     void seen(long announced) {
-        holder.seen(announced);
+        holder.noteAnnounced(announced);
     }
 
     /** Notes that another instance holds this generation with this digest; true where ours has another digest. */
@@ -59,7 +59,7 @@
                 && !digest.equals(holder.held().head().digest());
         // Two contents under one number are settled by a generation above both; an acceptor publishes it because it
         // has to exceed what was seen.
-        holder.seen(contradicts ? announced + 1 : announced);
+        holder.noteAnnounced(contradicts ? announced + 1 : announced);
         if (contradicts) {
             contradictions.inc();
             LOG.warn("settings_contradiction", "generation", announced, "digest", digest);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/SettingsPublisher.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/SettingsPublisher.java
@@ -115,8 +115,8 @@
 
     @Override
     public void onChange(String change, long nowMs) {
-        int turn = AcceptorRoles.turn(acceptors, parts.self(), change);
-        turnAtMs = Math.min(turnAtMs, nowMs + turn * parts.options().turnMs());
+        int rank = AcceptorRoles.rank(acceptors, parts.self(), change);
+        turnAtMs = Math.min(turnAtMs, nowMs + rank * parts.options().turnMs());
     }
 
     @Override
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/Acceptance.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/Acceptance.java
@@ -5,9 +5,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What an acceptor is to do.
+ * The result of an acceptance decision.
  *
- * @param next the generation to publish; null where nothing changes
- * @param refusals by team, what is wrong with its drafts or what else it must be told; all other teams have none
+ * @param next the generation to publish; null if nothing changes
+ * @param refusals the faults and notices of each affected team; teams without any are absent
  */
 public record Acceptance(@Nullable AcceptedTree next, SortedMap<String, List<SettingsFault>> refusals) {}
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/AcceptedHead.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/AcceptedHead.java
@@ -27,7 +27,7 @@
         return CanonicalJson.write(root);
     }
 
-    /** The head in a value of the platform's service; null where the value is not one. */
+    /** Parses a stored head; null if the value is not a valid head. */
     public static @Nullable AcceptedHead parse(String json) {
         JsonNode root;
         try {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/AcceptedTree.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/AcceptedTree.java
@@ -16,12 +16,12 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * One whole accepted generation, its bodies verified against its head.
+ * A complete accepted generation whose bodies are verified against the digest in its head.
  *
  * @param bodyByTeam the bodies' JSON texts as published
  */
 public record AcceptedTree(AcceptedHead head, SortedMap<String, String> bodyByTeam) {
-    /** Before the first acceptance. */
+    /** The empty tree, generation 0, that is active before the first acceptance. */
     public static final AcceptedTree NONE =
             new AcceptedTree(new AcceptedHead(0, "", Collections.emptySortedMap()), Collections.emptySortedMap());
 
@@ -29,7 +29,7 @@
         return head.generation();
     }
 
-    /** The tree of these bodies; null where they do not add up to {@code digest} or cannot be read. */
+    /** Builds a tree from these bodies; null if they do not match {@code digest} or cannot be parsed. */
     public static @Nullable AcceptedTree verified(long generation, String digest, Map<String, String> bodyByTeam) {
         SortedMap<String, String> bodies = new TreeMap<>(bodyByTeam);
         if (!GenerationDigest.of(generation, bodies).equals(digest)) {
@@ -43,8 +43,8 @@
     }
 
     /**
-     * The tree in the platform's service, from all entries under {@link SettingsKeys#ACCEPTED}; {@link #NONE} where it
-     * has no head or the bodies do not belong to it.
+     * Builds the stored tree from all entries under {@link SettingsKeys#ACCEPTED}; {@link #NONE} if there is no head
+     * or the bodies do not match it.
      */
     public static AcceptedTree fromStore(Map<String, String> valueByKey) {
         String headJson = valueByKey.get(SettingsKeys.HEAD);
@@ -72,7 +72,6 @@
         return new AcceptedTree(head, Collections.unmodifiableSortedMap(bodies));
     }
 
-    /** The tree of freshly built bodies. */
     static AcceptedTree built(long generation, SortedMap<String, TeamBody> bodies) {
         SortedMap<String, String> texts = new TreeMap<>();
         bodies.forEach((team, body) -> texts.put(team, body.toJson()));
@@ -83,7 +82,7 @@
         }
     }
 
-    /** The bodies that came with a later generation than {@code heldGeneration}: what its holder lacks. */
+    /** The bodies that changed after {@code heldGeneration}: those that a holder of that generation is missing. */
     public SortedMap<String, String> bodiesAfter(long heldGeneration) {
         SortedMap<String, String> newer = new TreeMap<>();
         bodies().forEach((team, body) -> {
@@ -95,9 +94,10 @@
     }
 
     /**
-     * Whether this generation was decided with a draft of this revision at hand, be it in force or set aside.
+     * Whether the decision on this generation considered the draft at this revision, whether the draft became active
+     * or was set aside.
      *
-     * @param modRevision 0 for a draft that was deleted
+     * @param modRevision 0 for a deleted draft
      */
     public boolean considers(String team, String document, long modRevision) {
         AcceptedDocument accepted =
@@ -106,7 +106,7 @@
         return modRevision == (draft == null ? 0 : draft.modRevision());
     }
 
-    /** The typed records that this generation puts in force. */
+    /** Parses the bodies into the typed settings of this generation. */
     public FleetSettings settings() {
         List<TeamSettings> teams = bodies().entrySet().stream()
                 .map(body -> TeamReader.read(body.getKey(), body.getValue().contents()))
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/AcceptorRoles.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/AcceptorRoles.java
@@ -10,15 +10,16 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * Which instances accept settings: a few in each data centre, by rendezvous hashing. Views that differ give different
- * acceptors for a while, which is harmless, as their writes are compare-and-swaps.
+ * Selects the instances that accept settings: a few in each data centre, by rendezvous hashing. Instances with
+ * different membership views may temporarily select different acceptors; this is harmless because acceptors write by
+ * compare-and-swap.
  */
 public final class AcceptorRoles {
-    private static final String DUTY = "settings-acceptor";
+    private static final String ROLE = "settings-acceptor";
 
     private AcceptorRoles() {}
 
-    /** The acceptors in a view, by data centre. */
+    /** The acceptors in a view, ordered by data centre. Leaving members are not selected. */
     public static List<InstanceId> acceptors(FleetView view, int perDataCentre) {
         SortedMap<DataCentreId, List<InstanceId>> byDataCentre = new TreeMap<>();
         view.members().values().stream()
@@ -27,17 +28,17 @@
                         .computeIfAbsent(member.dataCentre(), dataCentre -> new ArrayList<>())
                         .add(member.id()));
         return byDataCentre.values().stream()
-                .flatMap(members -> Rendezvous.rank(DUTY, members).stream().limit(perDataCentre))
+                .flatMap(members -> Rendezvous.rank(ROLE, members).stream().limit(perDataCentre))
                 .toList();
     }
 
     /**
-     * How many acceptors go before this one in taking up a change; 0 for the first. The order differs from change to
-     * change, so that the work is spread.
+     * The number of acceptors that are to process a change before this one; 0 for the first. The order depends on the
+     * change, which distributes the work over the acceptors.
      *
-     * @param change what names the change on every acceptor
+     * @param change an identifier of the change that is the same on every acceptor
      */
-    public static int turn(List<InstanceId> acceptors, InstanceId self, String change) {
+    public static int rank(List<InstanceId> acceptors, InstanceId self, String change) {
         return Math.max(0, Rendezvous.rank(change, acceptors).indexOf(self));
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/CanonicalJson.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/CanonicalJson.java
@@ -9,7 +9,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.UncheckedIOException;
 
-/** JSON with one text for one content: members sorted, no white space; doubled members and trailing text refused. */
+/**
+ * Reads and writes JSON in a canonical form: sorted members, no white space, so that equal content has equal text.
+ * Parsing rejects duplicate members and trailing text.
+ */
 final class CanonicalJson {
     private static final JsonMapper MAPPER = JsonMapper.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
@@ -29,7 +32,7 @@
 
     static String write(JsonNode node) {
         try {
-            // A JsonNode keeps the order it was read in; as a map its members are sorted.
+            // ORDER_MAP_ENTRIES_BY_KEYS does not apply to a JsonNode, which keeps its insertion order.
             return MAPPER.writeValueAsString(MAPPER.treeToValue(node, Object.class));
         } catch (JsonProcessingException e) {
             throw new UncheckedIOException(e);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/ConflictFaults.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/ConflictFaults.java
@@ -6,60 +6,60 @@
 import java.util.stream.Collectors;
 import org.marjoramswitch.kernel.error.ErrorType;
 
-/** Words a conflict for the teams that take part in it; each is told of the others. */
+/** Converts a conflict into faults for the teams involved; each fault names the documents on the other side. */
 final class ConflictFaults {
     private ConflictFaults() {}
 
-    /** A fault for each side of the conflict. */
+    /** Returns a fault for each definition or target in the conflict. */
     static List<SettingsFault> forAll(Conflict conflict) {
         if (conflict instanceof Conflict.Duplicate duplicate) {
             return forDefinitions(duplicate, definition -> true);
         }
-        return forUsers((Conflict.MissingPool) conflict, definition -> true);
+        return forTargets((Conflict.MissingPool) conflict, definition -> true);
     }
 
-    /** A fault for each definition that {@code blamed} picks. */
-    static List<SettingsFault> forDefinitions(Conflict.Duplicate duplicate, Predicate<Definition> blamed) {
+    /** Returns a fault for each definition that matches {@code responsible}. */
+    static List<SettingsFault> forDefinitions(Conflict.Duplicate duplicate, Predicate<Definition> responsible) {
         List<SettingsFault> faults = new ArrayList<>();
         for (Definition definition : duplicate.definitions()) {
-            if (blamed.test(definition)) {
+            if (responsible.test(definition)) {
                 faults.add(fault(
                         definition,
                         ErrorType.SETTINGS_CONFLICT,
-                        duplicate.name() + ", also in " + places(othersThan(definition, duplicate.definitions()))));
+                        duplicate.name() + ", also in " + locations(without(definition, duplicate.definitions()))));
             }
         }
         return faults;
     }
 
-    /** A fault for each target that names the missing pool and that {@code blamed} picks. */
-    static List<SettingsFault> forUsers(Conflict.MissingPool missing, Predicate<Definition> blamed) {
+    /** Returns a fault for each target that references the missing pool and matches {@code responsible}. */
+    static List<SettingsFault> forTargets(Conflict.MissingPool missing, Predicate<Definition> responsible) {
         return missing.targets().stream()
-                .filter(blamed)
+                .filter(responsible)
                 .map(target -> fault(
                         target, ErrorType.SETTINGS_UNKNOWN_POOL, missing.pool().name()))
                 .toList();
     }
 
-    /** The fault of the team that would remove the pool. */
+    /** Returns the fault of a team that would remove the pool. */
     static SettingsFault forRemover(Conflict.MissingPool missing, String team) {
         return new SettingsFault(
                 team,
                 "",
                 "",
                 ErrorType.SETTINGS_POOL_IN_USE,
-                missing.pool() + ", named in " + places(missing.targets()));
+                missing.pool() + ", named in " + locations(missing.targets()));
     }
 
     private static SettingsFault fault(Definition definition, ErrorType type, String detail) {
         return new SettingsFault(definition.team(), definition.document(), definition.pointer(), type, detail);
     }
 
-    private static List<Definition> othersThan(Definition one, List<Definition> definitions) {
-        return definitions.stream().filter(other -> !other.equals(one)).toList();
+    private static List<Definition> without(Definition excluded, List<Definition> definitions) {
+        return definitions.stream().filter(other -> !other.equals(excluded)).toList();
     }
 
-    private static String places(List<Definition> definitions) {
+    private static String locations(List<Definition> definitions) {
         return definitions.stream()
                 .map(definition -> SettingsKeys.draft(definition.team(), definition.document()))
                 .distinct()
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/ConflictFinder.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/ConflictFinder.java
@@ -10,11 +10,11 @@
 import org.marjoramswitch.kernel.model.PoolId;
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
-/** Finds every conflict in a tree of settings, in one pass over its definitions and one over its targets. */
+/** Finds all conflicts in a settings tree in one pass over its definitions and one over its targets. */
 final class ConflictFinder {
     private ConflictFinder() {}
 
-    /** Conflicts by name, the same for the same teams in whatever order. */
+    /** Returns duplicate names, then missing pools, each sorted by name whatever the order of the teams. */
     static List<Conflict> find(Collection<TeamSettings> teams) {
         List<Conflict> conflicts = new ArrayList<>(duplicates(teams));
         conflicts.addAll(missingPools(teams));
@@ -45,18 +45,18 @@
                     .filter(definition -> definition.name().kind() == Definition.Kind.POOL)
                     .forEach(definition -> defined.add(definition.name().text()));
         }
-        Map<PoolId, List<Definition>> usersByPool = new TreeMap<>();
+        Map<PoolId, List<Definition>> targetsByPool = new TreeMap<>();
         for (TeamSettings team : teams) {
             for (TargetSettings target : team.targets()) {
                 if (!defined.contains(target.pool().name())) {
-                    usersByPool
+                    targetsByPool
                             .computeIfAbsent(target.pool(), pool -> new ArrayList<>())
-                            .add(team.targetPlaces().get(target));
+                            .add(team.definitionByTarget().get(target));
                 }
             }
         }
         List<Conflict> conflicts = new ArrayList<>();
-        usersByPool.forEach((pool, targets) -> conflicts.add(new Conflict.MissingPool(pool, targets)));
+        targetsByPool.forEach((pool, targets) -> conflicts.add(new Conflict.MissingPool(pool, targets)));
         return conflicts;
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/Definition.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/Definition.java
@@ -3,13 +3,13 @@
 import java.util.Comparator;
 
 /**
- * That a document gives a name its meaning.
+ * A definition of a name in a document.
  *
- * @param pointer where in the document
+ * @param pointer a JSON pointer to the definition in the document
  */
 record Definition(Name name, String team, String document, String pointer) {
 
-    /** A name that only one place in the whole tree may define. */
+    /** A name that may be defined only once in the whole tree. */
     record Name(Kind kind, String text) implements Comparable<Name> {
         private static final Comparator<Name> ORDER =
                 Comparator.comparing(Name::kind).thenComparing(Name::text);
@@ -25,7 +25,7 @@
         }
     }
 
-    /** The name spaces. */
+    /** The namespace of a name. */
     enum Kind {
         CUSTOMER("customer"),
         POOL("pool"),
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/DocumentParser.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/DocumentParser.java
@@ -13,7 +13,7 @@
 import java.util.Objects;
 import org.marjoramswitch.kernel.error.ErrorType;
 
-/** Reads one draft and checks it against the settings' schema, {@code settings-schema.json}. */
+/** Parses a draft and validates it against the settings schema, {@code settings-schema.json}. */
 final class DocumentParser {
     private static final Schema SCHEMA = loadSchema();
 
@@ -47,7 +47,7 @@
     }
 
     private static Schema loadSchema() {
-        // Acceptors compare the text of refusals, so it must not depend on the locale of an instance.
+        // Acceptors compare refusals by text, so the text must not depend on the locale of an instance.
         SchemaRegistryConfig config =
                 SchemaRegistryConfig.builder().locale(Locale.ENGLISH).build();
         SchemaRegistry registry = SchemaRegistry.withDefaultDialect(
@@ -56,7 +56,7 @@
         return registry.getSchema(Objects.requireNonNull(resource));
     }
 
-    /** What became of a draft. */
+    /** The result of parsing a draft. */
     sealed interface Result {}
 
     record Parsed(JsonNode root) implements Result {}
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/DraftVersion.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/DraftVersion.java
@@ -1,10 +1,11 @@
 package org.marjoramswitch.kernel.configuration;
 
 /**
- * Tells one draft from the others at its place. Both parts are needed: the same text written again is a new wish of
- * its operator, and a service that was restored from a backup counts its revisions a second time.
+ * Identifies one version of a draft. The revision distinguishes two writes of the same text, each of which counts as a
+ * change. The hash distinguishes two writes with the same revision, since a store that was restored from a backup
+ * assigns revisions again.
  *
- * @param modRevision the revision of the write in the platform's service
+ * @param modRevision the store revision of the write
  * @param sha256 lower-case hex of the text as written
  */
 public record DraftVersion(long modRevision, String sha256) {}
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/GenerationDigest.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/GenerationDigest.java
@@ -8,7 +8,10 @@
 import java.util.SortedMap;
 import org.marjoramswitch.kernel.misc.Sha256;
 
-/** The digest of a generation: its number, then each team's name and body with their lengths, by team. */
+/**
+ * Computes the digest of a generation: SHA-256 over the generation number, then the length-prefixed name and body of
+ * each team in the order of the names.
+ */
 final class GenerationDigest {
     private GenerationDigest() {}
 
@@ -22,7 +25,7 @@
         return HexFormat.of().formatHex(Sha256.of(parts.toArray(byte[][]::new)));
     }
 
-    /** The length goes first: without it two trees whose names and bodies join to the same text would be one. */
+    /** Without the length prefix, trees whose names and bodies concatenate to the same text would be equal. */
     private static void add(List<byte[]> parts, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         parts.add(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/GenerationHolder.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/GenerationHolder.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 
 /**
- * The generation of settings that one instance holds. It only ever grows.
+ * Holds the settings generation of one instance. Its number never decreases.
  *
- * <p>Generations reach an instance from the platform's service and from peers, late, twice and in any order, some from
- * instances that were cut off for long. A generation is taken only when its number is above the held one and not below
- * any that the instance has heard of, and when its bodies add up to its digest. So whatever the order of arrival, the
- * held generation at the end is the highest one that arrived whole.
+ * <p>Generations arrive from the key-value store and from peers: late, repeatedly and in any order, some from instances
+ * that were partitioned for a long time. A generation is adopted only if its number is higher than the held one and not
+ * lower than any announced one, and if its bodies match its digest. Whatever the order of arrival, the instance ends up
+ * with the highest generation that arrived complete.
  *
- * <p>The number alone orders generations. Two different contents under one number can only come from a service that
- * was restored from a backup and then written to by an acceptor that had not heard of the newest generation. Neither
- * replaces the other here: each holder keeps its own until an acceptor that sees both publishes above them, which
- * {@link SettingsAcceptor} does.
+ * <p>Generations are ordered by number alone. Two contents with the same number can only occur if the store was
+ * restored from a backup and an acceptor that did not know the newest generation then wrote to it. Neither content
+ * replaces the other here: each holder keeps its own until an acceptor that has seen both publishes a higher
+ * generation, see {@link SettingsAcceptor}.
  *
- * <p>Example: held 5; 7 is announced by a peer; 6 arrives from a peer that was cut off and is refused with
- * {@link Older}, as 7 has been in force somewhere; 7 arrives and is taken.
+ * <p>Example: the holder has 5 and a peer announces 7. Generation 6 from a partitioned peer is rejected with
+ * {@link Older} because 7 is already active somewhere; 7 is adopted when it arrives.
  */
 public final class GenerationHolder {
     private AcceptedTree held = AcceptedTree.NONE;
@@ -33,20 +33,20 @@
         return held;
     }
 
-    /** The highest generation that any source has announced, the held one included. */
+    /** The highest generation that any source has announced, including the held one. */
     public long highestSeen() {
         return highestSeen;
     }
 
-    /** Notes that a generation exists somewhere. */
-    public void seen(long generation) {
+    /** Records that a generation exists somewhere in the fleet or the store. */
+    public void noteAnnounced(long generation) {
         highestSeen = Math.max(highestSeen, generation);
     }
 
     /**
-     * Takes a generation, or says why not.
+     * Adopts a generation if it is newer, complete and consistent; the result states the outcome.
      *
-     * @param bodyByTeam all its bodies, or those that came after the held generation
+     * @param bodyByTeam all bodies, or those that changed after the held generation
      */
     public Result adopt(long generation, String digest, Map<String, String> bodyByTeam) {
         if (generation < highestSeen || generation <= 0) {
@@ -59,7 +59,7 @@
         }
         AcceptedTree tree = AcceptedTree.verified(generation, digest, bodyByTeam);
         if (tree == null) {
-            tree = AcceptedTree.verified(generation, digest, overHeld(bodyByTeam));
+            tree = AcceptedTree.verified(generation, digest, mergeIntoHeld(bodyByTeam));
         }
         if (tree == null) {
             return new Incomplete(generation, digest);
@@ -69,24 +69,24 @@
         return new Adopted(tree);
     }
 
-    private Map<String, String> overHeld(Map<String, String> newer) {
+    private Map<String, String> mergeIntoHeld(Map<String, String> newer) {
         Map<String, String> bodies = new HashMap<>(held.bodyByTeam());
         bodies.putAll(newer);
         return bodies;
     }
 
-    /** What became of a generation that was offered. */
+    /** The result of offering a generation. */
     public sealed interface Result {}
 
-    /** It is held now. */
+    /** The generation is now held. */
     public record Adopted(AcceptedTree tree) implements Result {}
 
-    /** It is the held one or below one that is known to exist. */
+    /** The generation is the held one, or lower than one that is known to exist. */
     public record Older(long generation, long highestSeen) implements Result {}
 
-    /** It has the held one's number and another digest. */
+    /** The generation has the number of the held one but a different digest. */
     public record Contradiction(long generation, String digest) implements Result {}
 
-    /** Its bodies do not add up to its digest, or cannot be read. */
+    /** The bodies do not match the digest, or cannot be parsed. */
     public record Incomplete(long generation, String digest) implements Result {}
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/Refusal.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/Refusal.java
@@ -15,7 +15,7 @@
  * The value at {@link SettingsKeys#refusal}: {@code {"drafts":{"base":12},"faults":[{"document":"base",
  * "pointer":"/customers/acme/weight","type":"SETTINGS_INVALID","number":200,"reason":"…"}]}}.
  *
- * @param revisionByDocument the drafts that were checked
+ * @param revisionByDocument the revisions of the checked drafts
  */
 public record Refusal(SortedMap<String, Long> revisionByDocument, List<SettingsFault> faults) {
     private static final String DRAFTS = "drafts";
@@ -40,7 +40,7 @@
         return CanonicalJson.write(root);
     }
 
-    /** The refusal in a value of the platform's service; null where the value is not one. */
+    /** Parses a stored refusal; null if the value is not valid JSON. */
     public static @Nullable Refusal parse(String team, String json) {
         JsonNode root;
         try {
@@ -64,7 +64,7 @@
         return new Refusal(revisions, List.copyOf(faults));
     }
 
-    /** A type that a newer acceptor knows and this instance does not is read as the general one. */
+    /** Maps a type written by a newer acceptor and unknown here to {@link ErrorType#SETTINGS_INVALID}. */
     private static ErrorType type(String name) {
         for (ErrorType type : ErrorType.values()) {
             if (type.name().equals(name)) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/SettingsAcceptor.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/SettingsAcceptor.java
@@ -20,47 +20,46 @@
 /**
  * Decides which drafts become the next accepted generation.
  *
- * <p><b>Idea.</b> Each team's drafts are taken whole or not at all; a team that is refused stays at what was accepted
- * of it before. The decision starts from every changed team whose drafts are right in themselves, looks for conflicts
- * in the tree that would result, takes the teams to blame out again, and repeats until the tree has none. A team that
- * is taken out falls back to its accepted body, which may bring a new conflict with a team still in; hence the
- * repetition. The set only shrinks and, once empty, leaves the tree that was accepted before, so the loop ends after
- * at most as many rounds as there are changed teams.
+ * <p><b>Algorithm.</b> A team's drafts are accepted all together or not at all; a rejected team keeps its accepted body.
+ * The candidates are the changed teams whose drafts are valid on their own. Each round looks for conflicts in the
+ * resulting tree and removes the responsible candidates, until no conflict is left. A removed team falls back to its
+ * accepted body, which may conflict with another candidate, so one round is not enough. Each round removes at least one
+ * candidate, and without candidates the tree is the accepted one, so there are at most as many rounds as changed teams.
  *
- * <p><b>Who is to blame.</b> For a name defined twice, the changed teams that had not defined it before: what was
- * accepted earlier stays, and of two new drafts neither enters, so that the outcome does not depend on which of two
- * operators was first by a millisecond. Each is told of the other. For a pool that targets name and nobody defines, the
- * changed teams that would remove it, else those whose targets newly name it. A conflict that nobody's change brought
- * (an older acceptor had let it pass) blames nobody and holds nobody back.
+ * <p><b>Responsibility for conflicts.</b> For a duplicate name, the changed teams that did not define it before are
+ * responsible: the accepted definition stays, and of two new drafts neither is accepted, so that the outcome does not
+ * depend on which operator wrote first by a millisecond. The fault of each team names the other. For a missing pool,
+ * the changed teams that would remove it are responsible, or if there are none, those whose targets newly reference it.
+ * For a conflict that no change introduces (an older acceptor accepted it) no team is responsible or rejected.
  *
- * <p><b>Why it is safe.</b> The decision is a function of its input, bodies are canonical text, and the result is
- * written by a compare-and-swap on the head that was read. So of any number of acceptors at once exactly one gets its
- * result in, and the others read again. The caller must read what is recorded <em>before</em> the drafts: drafts that
- * were read earlier than the head could be older than what the head already considers, and publishing them would bring
- * an accepted setting back to its former value. With this order drafts are at least as new as the head, and a head that
- * moves afterwards fails the compare-and-swap.
+ * <p><b>Correctness.</b> The decision is a function of its input, bodies are canonical text, and the result is written
+ * by a compare-and-swap on the head that was read. So of several concurrent acceptors exactly one publishes, and the
+ * others read again. The caller must read the accepted tree <em>before</em> the drafts: drafts read earlier than the
+ * head might be older than those that the head considers, and publishing them would revert an accepted setting. In
+ * this order the drafts are at least as new as the head, and if the head changes afterwards, the compare-and-swap
+ * fails.
  *
- * <p><b>A restored service.</b> When the recorded generation is below the held one, or is the same with other content,
- * the platform's service was brought back from a backup (or emptied). Instances keep the higher generation, so the next
- * one is numbered above the highest that any instance was heard to hold, and its content is the held one. The drafts in
- * the restored service are old as well, and cannot be told from a new wish of an operator; all of them are set aside as
- * superseded, their versions noted in the bodies, and each team is told to write them again. The first later write of a
- * document takes effect as usual. Worked example: held 45 with weight 3, restored 40 with weight 2 in both body and
- * draft: 46 is published with weight 3 and the note that the draft of weight 2 was considered.
+ * <p><b>Restored store.</b> A stored generation below the held one, or with the same number but other content, means
+ * that the store was restored from a backup (or emptied). Instances keep the higher generation, so the next one takes a
+ * number above the highest that any instance has announced, and the content of the held one. The drafts in the restored
+ * store are old too and cannot be distinguished from new writes, so all of them are set aside as superseded: their
+ * versions are recorded in the bodies, and each team is notified to write its drafts again. The next write of a
+ * document takes effect as usual. Example: held is 45 with weight 3; restored is 40 with weight 2 in both body and
+ * draft. Generation 46 is published with weight 3 and records that the draft with weight 2 was considered.
  *
- * <p><b>Cost.</b> One parse of each body and of each changed draft, and one pass over all definitions for each round.
+ * <p><b>Cost.</b> Each body and each changed draft is parsed once; each round makes one pass over all definitions.
  */
 public final class SettingsAcceptor {
-    /** The largest body in bytes; the platform's service holds values up to a megabyte. */
+    /** Maximum size of a team's body; the key-value store limits values to one megabyte. */
     public static final int MAX_BODY_BYTES = 900_000;
 
-    /** The largest sum of all bodies in bytes, so that any acceptance fits into one transaction and one message. */
+    /** Maximum total size of all bodies; keeps any acceptance within one store transaction and one peer message. */
     public static final int MAX_TREE_BYTES = 1_200_000;
 
-    /** The most teams, so that an acceptance stays within the usual 128 operations of a transaction. */
+    /** Maximum number of teams; keeps an acceptance within the usual limit of 128 operations per transaction. */
     public static final int MAX_TEAMS = 100;
 
-    /** The most documents of a team, so that a refusal can compare all of them in one transaction. */
+    /** Maximum documents of a team; a refusal compares the revisions of all of them in one transaction. */
     public static final int MAX_DOCUMENTS = 100;
 
     private final SortedMap<String, TeamBody> base;
@@ -78,29 +77,29 @@
     /**
      * Decides on the next generation.
      *
-     * @param recorded what the platform's service holds, read before {@code drafts}
-     * @param held what this instance holds
-     * @param highestSeen the highest generation that the next one must exceed
+     * @param stored the tree in the key-value store, read before {@code drafts}
+     * @param held the tree that this instance holds
+     * @param highestSeen the highest generation that any source has announced; the next one exceeds it
      */
     public static Acceptance decide(
-            AcceptedTree recorded, AcceptedTree held, long highestSeen, Collection<Draft> drafts) {
-        long highest = Math.max(highestSeen, Math.max(recorded.generation(), held.generation()));
-        boolean restored = isRestored(recorded, held);
-        AcceptedTree newest = restored ? held : recorded;
+            AcceptedTree stored, AcceptedTree held, long highestSeen, Collection<Draft> drafts) {
+        long highest = Math.max(highestSeen, Math.max(stored.generation(), held.generation()));
+        boolean restored = isRestored(stored, held);
+        AcceptedTree newest = restored ? held : stored;
         SettingsAcceptor acceptor = new SettingsAcceptor(newest.bodies(), highest + 1);
         SortedMap<String, SortedMap<String, Draft>> draftsByTeam = byTeam(drafts);
         if (restored) {
             return acceptor.supersede(draftsByTeam);
         }
-        return acceptor.accept(draftsByTeam, highest > recorded.generation());
+        return acceptor.accept(draftsByTeam, highest > stored.generation());
     }
 
-    /** True where the platform's service has lost a generation that this instance holds. */
-    public static boolean isRestored(AcceptedTree recorded, AcceptedTree held) {
-        if (recorded.generation() != held.generation()) {
-            return recorded.generation() < held.generation();
+    /** Whether the key-value store has lost a generation that this instance holds. */
+    public static boolean isRestored(AcceptedTree stored, AcceptedTree held) {
+        if (stored.generation() != held.generation()) {
+            return stored.generation() < held.generation();
         }
-        return !recorded.head().digest().equals(held.head().digest());
+        return !stored.head().digest().equals(held.head().digest());
     }
 
     private static SortedMap<String, SortedMap<String, Draft>> byTeam(Collection<Draft> drafts) {
@@ -114,8 +113,8 @@
         SortedSet<String> teams = new TreeSet<>(draftsByTeam.keySet());
         teams.addAll(base.keySet());
         teams.forEach(team -> consider(team, draftsByTeam.getOrDefault(team, Collections.emptySortedMap())));
-        while (takeOutBlamed()) {
-            // again, as those taken out fall back to what was accepted of them
+        while (removeResponsible()) {
+            // Removed teams fall back to their accepted bodies, which may cause further conflicts.
         }
         SortedMap<String, TeamBody> bodies = bodies();
         bodies.forEach(this::noteSuperseded);
@@ -123,10 +122,10 @@
         return new Acceptance(publish ? AcceptedTree.built(generation, bodies) : null, refusals);
     }
 
-    /** Makes a team a candidate where its drafts differ from what was considered and are right in themselves. */
+    /** Makes a team a candidate if its drafts differ from the considered ones and are valid on their own. */
     private void consider(String team, SortedMap<String, Draft> drafts) {
         TeamBody accepted = base.getOrDefault(team, TeamBody.EMPTY);
-        SortedMap<String, AcceptedDocument> documents = kept(accepted, drafts);
+        SortedMap<String, AcceptedDocument> documents = unchanged(accepted, drafts);
         List<SettingsFault> faults = new ArrayList<>();
         drafts.values().stream()
                 .filter(draft -> !documents.containsKey(draft.document()))
@@ -146,20 +145,20 @@
             candidates.put(team, new Candidate(body, settings));
             return;
         }
-        refuse(team, faults);
+        reject(team, faults);
     }
 
-    /** The documents whose drafts were considered already, and those that a restored service has no draft of. */
-    private static SortedMap<String, AcceptedDocument> kept(TeamBody accepted, SortedMap<String, Draft> drafts) {
-        SortedMap<String, AcceptedDocument> kept = new TreeMap<>();
+    /** The documents whose drafts were already considered, and those for which a restored store has no draft. */
+    private static SortedMap<String, AcceptedDocument> unchanged(TeamBody accepted, SortedMap<String, Draft> drafts) {
+        SortedMap<String, AcceptedDocument> unchanged = new TreeMap<>();
         accepted.documents().forEach((name, document) -> {
             Draft draft = drafts.get(name);
             DraftVersion version = draft == null ? null : draft.version();
             if (Objects.equals(version, document.draft())) {
-                kept.put(name, document);
+                unchanged.put(name, document);
             }
         });
-        return kept;
+        return unchanged;
     }
 
     private static void read(Draft draft, SortedMap<String, AcceptedDocument> documents, List<SettingsFault> faults) {
@@ -172,21 +171,21 @@
         documents.put(draft.document(), new AcceptedDocument(parsed.root(), draft.version(), false));
     }
 
-    /** One round: finds the conflicts of the tree as it would be, and takes the teams to blame out of it. */
-    private boolean takeOutBlamed() {
+    /** Runs one round: finds the conflicts in the resulting tree and removes the responsible candidates. */
+    private boolean removeResponsible() {
         List<SettingsFault> faults = new ArrayList<>();
         for (Conflict conflict : ConflictFinder.find(settings())) {
-            faults.addAll(blame(conflict));
+            faults.addAll(conflictFaults(conflict));
         }
         if (faults.isEmpty()) {
-            faults.addAll(blameForSize());
+            faults.addAll(sizeFaults());
         }
         Map<String, List<SettingsFault>> byTeam = faults.stream().collect(Collectors.groupingBy(SettingsFault::team));
-        byTeam.forEach(this::refuse);
+        byTeam.forEach(this::reject);
         return !byTeam.isEmpty();
     }
 
-    private List<SettingsFault> blame(Conflict conflict) {
+    private List<SettingsFault> conflictFaults(Conflict conflict) {
         if (conflict instanceof Conflict.Duplicate duplicate) {
             return ConflictFaults.forDefinitions(duplicate, definition -> isNew(definition.team(), duplicate.name()));
         }
@@ -200,14 +199,14 @@
         if (!removers.isEmpty()) {
             return removers;
         }
-        return ConflictFaults.forUsers(missing, target -> isNewUser(target, missing));
+        return ConflictFaults.forTargets(missing, target -> isNewReference(target, missing));
     }
 
     private boolean isNew(String team, Definition.Name name) {
         return candidates.containsKey(team) && !accepted(team).names().contains(name);
     }
 
-    private boolean isNewUser(Definition target, Conflict.MissingPool missing) {
+    private boolean isNewReference(Definition target, Conflict.MissingPool missing) {
         if (!candidates.containsKey(target.team())) {
             return false;
         }
@@ -216,8 +215,8 @@
                         && known.id().name().equals(target.name().text()));
     }
 
-    /** Where the tree is too large, the team that adds most to it; one at a time, as that may be enough. */
-    private List<SettingsFault> blameForSize() {
+    /** If the tree is too large, selects the candidate that grows most; one per round, as that may be enough. */
+    private List<SettingsFault> sizeFaults() {
         SortedMap<String, TeamBody> bodies = bodies();
         long bytes = bodies.values().stream().mapToLong(SettingsAcceptor::bytes).sum();
         if (bytes <= MAX_TREE_BYTES && bodies.size() <= MAX_TEAMS) {
@@ -236,7 +235,7 @@
         return new SettingsFault(team, "", "", ErrorType.SETTINGS_TOO_LARGE, detail);
     }
 
-    private void refuse(String team, List<SettingsFault> faults) {
+    private void reject(String team, List<SettingsFault> faults) {
         candidates.remove(team);
         refusals.computeIfAbsent(team, name -> new ArrayList<>()).addAll(faults);
     }
@@ -258,7 +257,7 @@
         return bodies;
     }
 
-    /** Publishes the base above all that was seen, with every draft set aside. */
+    /** Publishes the base under a number above all that were seen, with every draft set aside. */
     private Acceptance supersede(SortedMap<String, SortedMap<String, Draft>> draftsByTeam) {
         SortedMap<String, TeamBody> bodies = new TreeMap<>(base);
         Set<String> teams = new TreeSet<>(draftsByTeam.keySet());
@@ -277,7 +276,7 @@
     }
 
     private static SortedMap<String, AcceptedDocument> superseded(TeamBody accepted, SortedMap<String, Draft> drafts) {
-        SortedMap<String, AcceptedDocument> documents = kept(accepted, drafts);
+        SortedMap<String, AcceptedDocument> documents = unchanged(accepted, drafts);
         Set<String> others = new TreeSet<>(drafts.keySet());
         others.addAll(accepted.documents().keySet());
         others.removeAll(documents.keySet());
@@ -307,6 +306,6 @@
         return body.toJson().getBytes(StandardCharsets.UTF_8).length;
     }
 
-    /** A changed team's drafts, as they would be accepted. */
+    /** A changed team's body and settings as they would be accepted. */
     private record Candidate(TeamBody body, TeamSettings settings) {}
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/SettingsKeys.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/SettingsKeys.java
@@ -1,20 +1,20 @@
 package org.marjoramswitch.kernel.configuration;
 
-/** Where the settings are kept in the platform's service. */
+/** Keys of the settings in the key-value store. */
 public final class SettingsKeys {
-    /** Drafts, {@code settings/<team>/<document>}, written by the operators. */
+    /** Prefix of the drafts, {@code settings/<team>/<document>}, written by operators. */
     public static final String DRAFTS = "settings/";
 
-    /** All that is accepted; written by the acceptors alone. */
+    /** Prefix of the accepted settings; written by acceptors only. */
     public static final String ACCEPTED = "accepted/";
 
-    /** The head of the accepted generation. */
+    /** The {@link AcceptedHead} of the accepted generation. */
     public static final String HEAD = ACCEPTED + "head";
 
-    /** Accepted bodies, {@code accepted/body/<team>}. */
+    /** Prefix of the accepted bodies, {@code accepted/body/<team>}. */
     public static final String BODIES = ACCEPTED + "body/";
 
-    /** Why a team's drafts were refused, {@code refusals/<team>}; no key where none is. */
+    /** Prefix of the refusals, {@code refusals/<team>}; a team without a refusal has no key. */
     public static final String REFUSALS = "refusals/";
 
     private SettingsKeys() {}
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/SettingsMerger.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/SettingsMerger.java
@@ -10,8 +10,8 @@
 import org.marjoramswitch.kernel.settings.FleetSettings;
 
 /**
- * Checks a whole tree of drafts as if it stood alone, without regard to what is accepted already: for the tool's
- * check before a write and for settings that come from a file.
+ * Validates and merges a complete tree of drafts, independently of what is already accepted. Used by the command-line
+ * tool to check drafts before writing them, and for settings that come from a file.
  */
 public final class SettingsMerger {
     private SettingsMerger() {}
@@ -49,12 +49,12 @@
         documentsByTeam.computeIfAbsent(draft.team(), team -> new TreeMap<>()).put(draft.document(), parsed.root());
     }
 
-    /** What became of the drafts. */
+    /** The result of a merge. */
     public sealed interface Result {}
 
-    /** Nothing is wrong with them. */
+    /** The drafts are valid. */
     public record Merged(FleetSettings settings) implements Result {}
 
-    /** Everything that is wrong with them. */
+    /** The drafts are invalid; {@code faults} lists every fault found. */
     public record Refused(List<SettingsFault> faults) implements Result {}
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/TeamBody.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/TeamBody.java
@@ -8,10 +8,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What is accepted of one team. Its JSON text is canonical, so that two acceptors with the same input write the same
- * bytes: {@code {"documents":{"<document>":{"content":{…},"modRevision":12,"sha256":"…"}},"generation":7}}.
+ * The accepted documents of one team. The JSON text is canonical, so that two acceptors with the same input write the
+ * same bytes: {@code {"documents":{"<document>":{"content":{…},"modRevision":12,"sha256":"…"}},"generation":7}}.
  *
- * @param generation the one that this body came with
+ * @param generation the generation in which this body last changed
  */
 record TeamBody(long generation, SortedMap<String, AcceptedDocument> documents) {
     private static final String DOCUMENTS = "documents";
@@ -23,7 +23,7 @@
 
     static final TeamBody EMPTY = new TeamBody(0, new TreeMap<>());
 
-    /** The highest revision of a draft that was considered; 0 for none. */
+    /** The highest revision among the considered drafts; 0 if there are none. */
     long revision() {
         return documents.values().stream()
                 .map(AcceptedDocument::draft)
@@ -32,7 +32,7 @@
                 .orElse(0);
     }
 
-    /** The documents in force, for {@link TeamReader}. */
+    /** The active content by document, as {@link TeamReader} expects it. */
     SortedMap<String, JsonNode> contents() {
         SortedMap<String, JsonNode> contents = new TreeMap<>();
         documents.forEach((name, document) -> {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/TeamReader.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/TeamReader.java
@@ -21,17 +21,17 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * Turns a team's documents into typed records.
+ * Converts a team's documents into typed records.
  *
- * <p>The documents have passed the schema of some acceptor, which during a rolling replacement may be a newer one than
- * this instance's. So nothing is refused here: unknown members are passed over, absent ones take their defaults, and a
- * pool of an unknown kind or a target with an address of an unknown form is left out.
+ * <p>The documents conform to the schema of some acceptor, which during a rolling upgrade may be newer than this
+ * instance's schema. So nothing is rejected here: unknown members are ignored, absent members take their defaults, and
+ * a pool of an unknown kind or a target whose address has an unknown format is omitted.
  */
 final class TeamReader {
-    /** Weight of a customer where neither it nor its team's defaults give one. */
+    /** Weight of a customer if neither the customer nor its team's defaults specify one. */
     static final double DEFAULT_WEIGHT = 1;
 
-    /** Queue limit of a customer where neither it nor its team's defaults give one. */
+    /** Queue limit of a customer if neither the customer nor its team's defaults specify one. */
     static final int DEFAULT_MAX_QUEUED = 200;
 
     private static final Pattern ADDRESS = Pattern.compile("\\[?([^\\]]+)]?:(\\d{1,5})");
@@ -41,7 +41,7 @@
     private final List<PoolSettings> pools = new ArrayList<>();
     private final List<TargetSettings> targets = new ArrayList<>();
     private final List<Definition> definitions = new ArrayList<>();
-    private final Map<TargetSettings, Definition> targetPlaces = new HashMap<>();
+    private final Map<TargetSettings, Definition> definitionByTarget = new HashMap<>();
     private double defaultWeight = DEFAULT_WEIGHT;
     private int defaultMaxQueued = DEFAULT_MAX_QUEUED;
 
@@ -59,7 +59,7 @@
                 List.copyOf(reader.pools),
                 List.copyOf(reader.targets),
                 List.copyOf(reader.definitions),
-                Map.copyOf(reader.targetPlaces));
+                Map.copyOf(reader.definitionByTarget));
     }
 
     private void readDefaults(String document, JsonNode root) {
@@ -134,7 +134,7 @@
                 node.path("slots").asInt(),
                 node.path("checksFencing").asBoolean(false));
         targets.add(target);
-        targetPlaces.put(target, definition);
+        definitionByTarget.put(target, definition);
     }
 
     private Definition define(Definition.Kind kind, String name, String document, String pointer) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/TeamSettings.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/TeamSettings.java
@@ -10,10 +10,10 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * What one team's documents say together.
+ * The combined settings of one team's documents.
  *
- * @param definitions every name that they define, also where twice
- * @param targetPlaces where each of the targets is defined
+ * @param definitions all definitions, including duplicates
+ * @param definitionByTarget the location of each target's definition
  */
 record TeamSettings(
         String team,
@@ -21,7 +21,7 @@
         List<PoolSettings> pools,
         List<TargetSettings> targets,
         List<Definition> definitions,
-        Map<TargetSettings, Definition> targetPlaces) {
+        Map<TargetSettings, Definition> definitionByTarget) {
 
     static TeamSettings none(String team) {
         return new TeamSettings(team, List.of(), List.of(), List.of(), List.of(), Map.of());
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/package-info.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/package-info.java
@@ -1,4 +1,4 @@
-/** How the teams' drafts become one accepted generation of settings that never goes back. */
+/** Validates and merges the drafts of all teams into accepted settings generations with increasing numbers. */
 @NullMarked
 package org.marjoramswitch.kernel.configuration;
 
--- a/kernel/src/test/java/org/marjoramswitch/kernel/configuration/ConfigurationPropertiesTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/configuration/ConfigurationPropertiesTest.java
@@ -16,16 +16,16 @@
 import net.jqwik.api.Provide;
 
 /**
- * Drafts, acceptances and deliveries in random order: operators of three teams write over a shared set of names,
- * acceptors read, are paused and write late, answers are lost, holders are offered generations in any order, and the
- * service is restored from a backup. A draft's weight is the number of its write, so that an older setting is told by
- * its weight.
+ * Runs drafts, acceptances and deliveries in random order and checks that no accepted setting reverts. Operators of
+ * three teams write a shared set of names, acceptors pause between reading and writing, responses are lost, generations
+ * arrive in any order, and the store is restored from a backup. A draft's weight is the sequence number of its write,
+ * so a reverted setting shows as a lower weight.
  */
 class ConfigurationPropertiesTest {
     private static final int INSTANCES = 3;
     private static final List<String> TEAMS = List.of("floor", "hall", "port");
 
-    /** One random step; what {@code number} means depends on the kind. */
+    /** One random step; the meaning of {@code number} depends on the kind. */
     record Step(Kind kind, int instance, int number) {}
 
     enum Kind {
@@ -34,9 +34,9 @@
         READ_ACCEPTED,
         READ_DRAFTS,
         PUBLISH,
-        PUBLISH_ANSWER_LOST,
+        PUBLISH_RESPONSE_LOST,
         DELIVER,
-        BACK_UP,
+        BACKUP,
         RESTORE
     }
 
@@ -58,16 +58,16 @@
         steps.forEach(model::apply);
         model.settle();
         model.instances.forEach(instance ->
-                assertEquals(model.recorded.head(), instance.holder.held().head()));
-        model.history.forEach(Model::assertNoNameTwice);
+                assertEquals(model.stored.head(), instance.holder.held().head()));
+        model.history.forEach(Model::assertNoDuplicateNames);
     }
 
-    /** The platform's service with the instances around it. */
+    /** The key-value store and the instances that use it. */
     private static final class Model {
         private final Map<String, Draft> drafts = new TreeMap<>();
         private final List<AcceptedTree> history = new ArrayList<>();
         private final List<Instance> instances = new ArrayList<>();
-        private AcceptedTree recorded = AcceptedTree.NONE;
+        private AcceptedTree stored = AcceptedTree.NONE;
         private final Map<String, Double> newestWeight = new TreeMap<>();
         private long revision;
         private int writes;
@@ -84,12 +84,12 @@
             switch (step.kind()) {
                 case WRITE -> write(step.number());
                 case DELETE -> delete(step.number());
-                case READ_ACCEPTED -> instance.readAccepted(recorded);
+                case READ_ACCEPTED -> instance.readAccepted(stored);
                 case READ_DRAFTS -> instance.readDrafts(drafts);
                 case PUBLISH -> publish(instance, true);
-                case PUBLISH_ANSWER_LOST -> publish(instance, false);
+                case PUBLISH_RESPONSE_LOST -> publish(instance, false);
                 case DELIVER -> deliver(instance, step.number());
-                case BACK_UP -> backup = new Backup(recorded, Map.copyOf(drafts), revision);
+                case BACKUP -> backup = new Backup(stored, Map.copyOf(drafts), revision);
                 case RESTORE -> restore();
             }
         }
@@ -108,26 +108,26 @@
             drafts.remove(TEAMS.get(number % TEAMS.size()));
         }
 
-        /** The service counts its revisions on from the backup's. Every instance had heard of the newest generation. */
+        /** Continues with the backup's revisions. Every instance has received the newest generation beforehand. */
         private void restore() {
-            instances.forEach(instance -> instance.adopt(recorded));
-            recorded = backup.recorded();
+            instances.forEach(instance -> instance.adopt(stored));
+            stored = backup.stored();
             drafts.clear();
             drafts.putAll(backup.drafts());
             revision = backup.revision();
         }
 
-        private void publish(Instance instance, boolean answered) {
+        private void publish(Instance instance, boolean responseReceived) {
             AcceptedTree next = instance.decide();
-            if (next == null || !instance.read.head().equals(recorded.head())) {
+            if (next == null || !instance.read.head().equals(stored.head())) {
                 instance.draftsRead = null;
                 return;
             }
             history.forEach(earlier -> assertTrue(next.generation() > earlier.generation()));
             assertNoRevert(next);
-            recorded = next;
+            stored = next;
             history.add(next);
-            if (answered) {
+            if (responseReceived) {
                 instance.adopt(next);
             }
             instance.draftsRead = null;
@@ -139,13 +139,13 @@
             }
         }
 
-        /** No more writes: one acceptor finishes what is pending, and everyone is offered the newest. */
+        /** Lets one acceptor process all pending drafts and offers the newest generation to every instance. */
         void settle() {
             Instance acceptor = instances.get(0);
-            acceptor.readAccepted(recorded);
+            acceptor.readAccepted(stored);
             acceptor.readDrafts(drafts);
             publish(acceptor, false);
-            acceptor.readAccepted(recorded);
+            acceptor.readAccepted(stored);
             acceptor.readDrafts(drafts);
             assertNull(acceptor.decide(), "one acceptance is enough");
             if (!history.isEmpty()) {
@@ -153,7 +153,7 @@
             }
         }
 
-        /** No team's setting is older than one that was accepted of it before. */
+        /** Checks that no team's setting is older than one accepted before. */
         private void assertNoRevert(AcceptedTree next) {
             next.settings().customers().values().forEach(customer -> {
                 Double newest = newestWeight.put(customer.team(), customer.weight());
@@ -161,7 +161,7 @@
             });
         }
 
-        private static void assertNoNameTwice(AcceptedTree tree) {
+        private static void assertNoDuplicateNames(AcceptedTree tree) {
             int definitions = 0;
             for (var body : tree.bodies().entrySet()) {
                 definitions += TeamReader.read(body.getKey(), body.getValue().contents())
@@ -172,23 +172,23 @@
         }
     }
 
-    /** A copy of the service's content. */
-    private record Backup(AcceptedTree recorded, Map<String, Draft> drafts, long revision) {}
+    /** A copy of the store's content. */
+    private record Backup(AcceptedTree stored, Map<String, Draft> drafts, long revision) {}
 
-    /** An instance: what it holds, and what it has read for an acceptance that it may yet try. */
+    /** An instance with its held generation and the state it has read for a possible acceptance. */
     private static final class Instance {
         private final GenerationHolder holder = GenerationHolder.create();
         private AcceptedTree read = AcceptedTree.NONE;
         private List<Draft> draftsRead;
 
-        void readAccepted(AcceptedTree recorded) {
-            read = recorded;
+        void readAccepted(AcceptedTree stored) {
+            read = stored;
             draftsRead = null;
-            adopt(recorded);
-            assertTrue(holder.held().generation() >= recorded.generation());
+            adopt(stored);
+            assertTrue(holder.held().generation() >= stored.generation());
         }
 
-        /** As in a round, drafts are read only after what is accepted. */
+        /** Reads the drafts; as in a real round, only after the accepted tree. */
         void readDrafts(Map<String, Draft> drafts) {
             draftsRead = List.copyOf(drafts.values());
         }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/configuration/GenerationHolderTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/configuration/GenerationHolderTest.java
@@ -16,23 +16,23 @@
     private final GenerationHolder holder = GenerationHolder.create();
 
     @Test
-    void aLowerGenerationIsRefused() {
-        // A peer that was cut off offers the generation it still holds; the instance stays at its newer one.
+    void rejectsLowerGeneration() {
+        // A peer that was partitioned offers its old generation; the instance must keep its newer one.
         adopt(THIRD, THIRD.bodyByTeam());
         assertInstanceOf(GenerationHolder.Older.class, adopt(SECOND, SECOND.bodyByTeam()));
         assertEquals(THIRD, holder.held());
     }
 
     @Test
-    void aGenerationBelowOneThatWasHeardOfIsRefused() {
-        holder.seen(3);
+    void rejectsGenerationBelowAnnouncedOne() {
+        holder.noteAnnounced(3);
         assertInstanceOf(GenerationHolder.Older.class, adopt(SECOND, SECOND.bodyByTeam()));
         assertEquals(AcceptedTree.NONE, holder.held());
         assertInstanceOf(GenerationHolder.Adopted.class, adopt(THIRD, THIRD.bodyByTeam()));
     }
 
     @Test
-    void anotherContentUnderTheSameNumberIsRefused() {
+    void rejectsOtherContentWithSameNumber() {
         AcceptedTree other = next(FIRST, 0, 9, "floor");
         adopt(SECOND, SECOND.bodyByTeam());
         assertInstanceOf(GenerationHolder.Contradiction.class, adopt(other, other.bodyByTeam()));
@@ -40,13 +40,13 @@
     }
 
     @Test
-    void bodiesThatDoNotAddUpAreRefused() {
+    void rejectsBodiesThatDoNotMatchDigest() {
         assertInstanceOf(GenerationHolder.Incomplete.class, adopt(SECOND, FIRST.bodyByTeam()));
         assertEquals(AcceptedTree.NONE, holder.held());
     }
 
     @Test
-    void theBodiesSinceTheHeldGenerationAreEnough() {
+    void adoptsFromBodiesChangedSinceHeldGeneration() {
         AcceptedTree two = next(FIRST, 0, 2, "port");
         adopt(FIRST, FIRST.bodyByTeam());
         Map<String, String> newer = two.bodiesAfter(1);
@@ -59,14 +59,14 @@
         return holder.adopt(tree.generation(), tree.head().digest(), bodies);
     }
 
-    private static AcceptedTree next(AcceptedTree before, long seen, long revision, String team) {
+    private static AcceptedTree next(AcceptedTree before, long highestSeen, long revision, String team) {
         String customer = SettingsAcceptorTest.customer(team, (int) revision);
         List<Draft> drafts = new java.util.ArrayList<>(List.of(SettingsAcceptorTest.draft(team, customer, revision)));
         if (!team.equals("floor")) {
             drafts.add(SettingsAcceptorTest.draft("floor", SettingsAcceptorTest.customer("floor", 1), 1));
         }
         AcceptedTree next =
-                SettingsAcceptor.decide(before, before, seen, drafts).next();
+                SettingsAcceptor.decide(before, before, highestSeen, drafts).next();
         assertNotNull(next);
         return next;
     }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/configuration/SettingsAcceptorTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/configuration/SettingsAcceptorTest.java
@@ -19,7 +19,7 @@
             "{'targets':{'t':{'pool':'llm','address':'10.0.0.1:80','dataCentre':'a','slots':1}}}";
 
     @Test
-    void theSameInputGivesTheSameBytesAndNothingIsToDoAfterwards() {
+    void sameDraftsGiveSameBytesAndNoFurtherChange() {
         List<Draft> drafts = List.of(draft("models", LLM, 3), draft("halls", TARGET, 5));
         AcceptedTree first = accept(AcceptedTree.NONE, drafts);
         AcceptedTree second = accept(AcceptedTree.NONE, List.of(drafts.get(1), drafts.get(0)));
@@ -30,9 +30,9 @@
     }
 
     @Test
-    void aFaultyTeamStaysAtItsAcceptedBodyAndHoldsNobodyBack() {
-        // One team's draft is broken while another's is right: the second is in force at once, the first keeps what was
-        // accepted of it, and its operators read why.
+    void invalidDraftKeepsAcceptedBodyAndDoesNotBlockOtherTeams() {
+        // One team's draft is invalid and another's is valid. The valid one must be accepted at once; the other team
+        // keeps its accepted body and gets a refusal that states the reason.
         AcceptedTree before = accept(AcceptedTree.NONE, List.of(draft("floor", customer("acme", 2), 1)));
         Acceptance acceptance =
                 decide(before, List.of(draft("floor", "{'customers':7}", 2), draft("port", customer("clyde", 4), 3)));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void ofTwoNewDraftsInConflictNeitherEntersAndTheEarlierAcceptedStays() {
+    void rejectsBothOfTwoConflictingNewDraftsAndKeepsAcceptedDefinition() {
         AcceptedTree none = AcceptedTree.NONE;
         Acceptance both =
                 decide(none, List.of(draft("floor", customer("acme", 2), 1), draft("port", customer("acme", 4), 2)));
@@ -62,9 +62,10 @@
     }
 
     @Test
-    void aCustomerMovesBetweenTeamsOnlyWhenTheLeavingSideIsAccepted() {
-        // Two teams move a customer in one go; while the giving team's draft has another fault, its accepted body still
-        // defines the customer, so the taking team must wait too, or two bodies would define it.
+    void customerMovesBetweenTeamsOnlyIfRemovalIsAccepted() {
+        // Two teams move a customer at the same time, but the draft of the team that drops it has a fault. Its accepted
+        // body still defines the customer, so the other team's draft must be rejected too. Otherwise two bodies would
+        // define the customer.
         AcceptedTree before = accept(AcceptedTree.NONE, List.of(draft("floor", customer("acme", 2), 1)));
         Draft take = draft("port", customer("acme", 4), 3);
         Acceptance faulty = decide(before, List.of(draft("floor", "{'x':1}", 2), take));
@@ -75,9 +76,9 @@
     }
 
     @Test
-    void aTeamThatIsTakenOutTakesItsFollowersWithIt() {
-        // Floor gives up acme for clyde, port takes acme, and hall wants clyde as well. Clyde is a conflict of two new
-        // drafts, so floor stays at acme; only then does port's acme conflict, and it must not slip through.
+    void rejectsTeamsThatConflictOnceAnotherTeamIsRejected() {
+        // Floor replaces acme by clyde, port adds acme, and hall adds clyde too. Clyde is a conflict of two new drafts,
+        // so floor falls back to acme. Only then does port's acme conflict, which a second round must detect.
         AcceptedTree before = accept(AcceptedTree.NONE, List.of(draft("floor", customer("acme", 2), 1)));
         Acceptance acceptance = decide(
                 before,
@@ -92,7 +93,7 @@
     }
 
     @Test
-    void aPoolThatTargetsNameIsNotRemoved() {
+    void rejectsRemovalOfPoolUsedByTargets() {
         AcceptedTree before = accept(AcceptedTree.NONE, List.of(draft("models", LLM, 1), draft("halls", TARGET, 2)));
         Acceptance removed = decide(before, List.of(draft("halls", TARGET, 2)));
         assertNull(removed.next());
@@ -102,9 +103,9 @@
     }
 
     @Test
-    void aBodyOverTheLimitIsRefusedAndTheRestEnters() {
-        // The platform's service refuses values over a megabyte; without the check the whole transaction would fail,
-        // and with it every other team's change.
+    void rejectsOversizedBodyAndAcceptsOtherTeams() {
+        // The key-value store rejects values over one megabyte. Without the check the whole transaction would fail,
+        // including the changes of all other teams.
         StringBuilder customers = new StringBuilder("{'customers':{");
         IntStream.range(0, 10_000)
                 .forEach(i -> customers
@@ -119,10 +120,10 @@
     }
 
     @Test
-    void aRestoredServiceNeitherRevertsTheFleetNorStopsLaterChanges() {
-        // Operators raise a weight to 3 (generation 2); the platform's service is restored from a backup with
-        // generation 1 and the old draft of weight 2. Callers keep being served by weight 3, the team is told to write
-        // again, and its next write is in force although the service counts its revisions a second time.
+    void restoredStoreNeitherRevertsSettingsNorBlocksLaterChanges() {
+        // Operators raise a weight to 3 (generation 2), then the store is restored from a backup with generation 1 and
+        // the old draft of weight 2. Weight 3 must stay active, the team must be notified to write its draft again, and
+        // its next write must take effect although the store assigns the same revision again.
         Draft old = draft("floor", customer("acme", 2), 1);
         AcceptedTree backup = accept(AcceptedTree.NONE, List.of(old));
         AcceptedTree held = accept(backup, List.of(draft("floor", customer("acme", 3), 2)));
@@ -144,7 +145,7 @@
     }
 
     @Test
-    void anEmptiedServiceIsFilledAgainFromWhatIsHeld() {
+    void emptiedStoreIsRefilledFromHeldGeneration() {
         AcceptedTree held = accept(AcceptedTree.NONE, List.of(draft("floor", customer("acme", 3), 2)));
         Acceptance repair = SettingsAcceptor.decide(AcceptedTree.NONE, held, 1, List.of());
         assertNotNull(repair.next());
@@ -154,13 +155,13 @@
     }
 
     @Test
-    void aGenerationHeardOfButLostIsPassedOver() {
-        AcceptedTree recorded = accept(AcceptedTree.NONE, List.of(draft("floor", customer("acme", 3), 2)));
+    void publishesAboveAnnouncedGenerationThatWasLost() {
+        AcceptedTree stored = accept(AcceptedTree.NONE, List.of(draft("floor", customer("acme", 3), 2)));
         Acceptance acceptance =
-                SettingsAcceptor.decide(recorded, recorded, 9, List.of(draft("floor", customer("acme", 3), 2)));
+                SettingsAcceptor.decide(stored, stored, 9, List.of(draft("floor", customer("acme", 3), 2)));
         assertNotNull(acceptance.next());
         assertEquals(10, acceptance.next().generation());
-        assertEquals(recorded.bodyByTeam(), acceptance.next().bodyByTeam());
+        assertEquals(stored.bodyByTeam(), acceptance.next().bodyByTeam());
     }
 
     static Draft draft(String team, String json, long modRevision) {
@@ -171,12 +172,12 @@
         return "{'customers':{'" + name + "':{'weight':" + weight + ",'apiKeysSha256':[]}}}";
     }
 
-    private static Acceptance decide(AcceptedTree recorded, List<Draft> drafts) {
-        return SettingsAcceptor.decide(recorded, recorded, 0, drafts);
+    private static Acceptance decide(AcceptedTree stored, List<Draft> drafts) {
+        return SettingsAcceptor.decide(stored, stored, 0, drafts);
     }
 
-    private static AcceptedTree accept(AcceptedTree recorded, List<Draft> drafts) {
-        AcceptedTree next = decide(recorded, drafts).next();
+    private static AcceptedTree accept(AcceptedTree stored, List<Draft> drafts) {
+        AcceptedTree next = decide(stored, drafts).next();
         assertNotNull(next);
         return next;
     }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/configuration/SettingsMergerTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/configuration/SettingsMergerTest.java
@@ -16,7 +16,7 @@
     private static final String HASH = "ab".repeat(32);
 
     @Test
-    void aTeamsDefaultsApplyToItsCustomersAlone() {
+    void teamDefaultsApplyOnlyToOwnCustomers() {
         FleetSettings settings = merged(Map.of(
                 "settings/floor/base",
                 "{'defaults':{'weight':3},'customers':{'acme':{'apiKeysSha256':[]},"
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void poolsTakeTheDefaultsOfTheirKindAndTargetsMayLieInAnotherTeamsPool() {
+    void poolsTakeDefaultsOfTheirKindAndTargetsMayUseOtherTeamsPools() {
         FleetSettings settings = merged(Map.of(
                 "settings/models/pools",
                 "{'pools':{'llm':{'kind':'model-engine','cellTargets':8},'notes':{'kind':'plain-service'}}}",
@@ -47,8 +47,8 @@
     }
 
     @Test
-    void everyFaultIsReportedAtOnceWithItsPlace() {
-        List<String> messages = refused(Map.of(
+    void reportsAllFaultsWithTheirLocations() {
+        List<String> messages = faultMessages(Map.of(
                 "settings/floor/base",
                 "{'customers':{'acme':{'weight':0,'apiKeysSha256':['xyz'],'colour':1}},'pool':{}}",
                 "settings/halls/a",
@@ -69,8 +69,8 @@
     }
 
     @Test
-    void aConflictIsToldToBothTeams() {
-        List<String> messages = refused(Map.of(
+    void reportsConflictToBothTeams() {
+        List<String> messages = faultMessages(Map.of(
                 "settings/floor/base",
                 "{'customers':{'acme':{'apiKeysSha256':['" + HASH + "']}}}",
                 "settings/port/base",
@@ -95,7 +95,7 @@
         return ((SettingsMerger.Merged) result).settings();
     }
 
-    private static List<String> refused(Map<String, String> drafts) {
+    private static List<String> faultMessages(Map<String, String> drafts) {
         SettingsMerger.Result result = SettingsMerger.merge(quoted(drafts), 1);
         return ((SettingsMerger.Refused) result)
                 .faults().stream().map(SettingsFault::message).toList();
