--- a/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
@@ -12,7 +12,7 @@
 import org.marjoramswitch.daemon.caller.Health;
 import org.marjoramswitch.daemon.caller.InfoHandlers;
 import org.marjoramswitch.daemon.caller.InstanceDirectory;
-import org.marjoramswitch.daemon.configuration.RoutedSettingsLoop;
+import org.marjoramswitch.daemon.configuration.RoutedSettingsFollower;
 import org.marjoramswitch.daemon.exchange.CallDecoder;
 import org.marjoramswitch.daemon.fleet.InstanceRegistration;
 import org.marjoramswitch.daemon.fleet.TargetList;
@@ -44,7 +44,7 @@
 
     private final Platform platform;
     private final InstanceCore core;
-    private final RoutedSettingsLoop configuration;
+    private final RoutedSettingsFollower configuration;
     private final ForwardServer callers;
     private volatile RoutedSettings settings = RoutedSettings.NONE;
     private volatile boolean refusing;
@@ -80,7 +80,7 @@
                         core.clock()),
                 core.worker(),
                 core.metrics()));
-        this.configuration = parts.add(RoutedSettingsLoop.start(
+        this.configuration = parts.add(RoutedSettingsFollower.start(
                 store,
                 platform.settingsKey(),
                 platform.settingsDecoder(),
@@ -116,7 +116,7 @@
     public record Platform(
             Function<StoreContext, KeyValueStore> store,
             String settingsKey,
-            RoutedSettingsLoop.Decoder settingsDecoder,
+            RoutedSettingsFollower.Decoder settingsDecoder,
             String targetPrefix,
             TargetList.Decoder targetDecoder,
             TargetProtocol protocol,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/RoutedSettingsLoop.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/RoutedSettingsFollower.java
@@ -28,8 +28,8 @@
  *
  * <p>The peers agree on nothing: they pass on what the service has accepted, as it stood there.
  */
-public final class RoutedSettingsLoop implements AutoCloseable {
-    private static final KeyValueLog LOG = KeyValueLog.of(RoutedSettingsLoop.class);
+public final class RoutedSettingsFollower implements AutoCloseable {
+    private static final KeyValueLog LOG = KeyValueLog.of(RoutedSettingsFollower.class);
     /** After it another peer may be asked. */
     private static final long QUERY_TIMEOUT_MS = 400;
     /** The pause between two readings, and after one that failed; settings have to be in force within two seconds. */
@@ -48,7 +48,7 @@
     private long askedAtMs = Long.MIN_VALUE / 2;
     private boolean unreadable;
 
-    private RoutedSettingsLoop(
+    private RoutedSettingsFollower(
             String key, Decoder decoder, PeerSender peers, Consumer<RoutedSettings> listener, LongSupplier clockMs) {
         this.key = key;
         this.decoder = decoder;
@@ -65,7 +65,7 @@
     }
 
     /** @param listener told of each version that comes into force, in order */
-    public static RoutedSettingsLoop start(
+    public static RoutedSettingsFollower start(
             KeyValueStore store,
             String key,
             Decoder decoder,
@@ -73,7 +73,7 @@
             Consumer<RoutedSettings> listener,
             LongSupplier clockMs,
             MetricRegistry metrics) {
-        RoutedSettingsLoop duty = new RoutedSettingsLoop(key, decoder, peers, listener, clockMs);
+        RoutedSettingsFollower duty = new RoutedSettingsFollower(key, decoder, peers, listener, clockMs);
         metrics.gauge("configuration.version", () -> duty::version);
         duty.follower =
                 PrefixFollower.start(store, key, READ_PAUSE_MS, clockMs.getAsLong(), new PrefixFollower.Listener() {
