--- a/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
@@ -20,7 +20,7 @@
 import org.marjoramswitch.daemon.fleet.CustomerSpread;
 import org.marjoramswitch.daemon.fleet.FleetDirectory;
 import org.marjoramswitch.daemon.log.KeyValueLog;
-import org.marjoramswitch.daemon.membership.MembershipDuty;
+import org.marjoramswitch.daemon.membership.MembershipLoop;
 import org.marjoramswitch.daemon.peer.PeerLinks;
 import org.marjoramswitch.daemon.platform.FleetList;
 import org.marjoramswitch.daemon.platform.KeyValueStore;
@@ -69,7 +69,7 @@
     private final Drain drain;
     private volatile @Nullable PeerLinks links;
     /** Null only while the instance starts: the duties that tell it something are there before it. */
-    private volatile @Nullable MembershipDuty membership;
+    private volatile @Nullable MembershipLoop membership;
 
     private volatile Consumer<FleetView> onView = view -> {};
     /** Null only while the instance starts: it has sent no request yet. */
@@ -130,7 +130,7 @@
         PeerLinks started = parts.add(PeerLinks.start(self, settings.peers(), settings.fleetKey(), router, metrics));
         links = started;
         peers.setLinks(started);
-        MembershipDuty joined = parts.add(MembershipDuty.start(
+        MembershipLoop joined = parts.add(MembershipLoop.start(
                 self, peersAddress(), settings.fleetKey(), this::onMembers, generationsSeen, metrics));
         membership = joined;
         // What the other duties told before there was a membership is made up for.
@@ -225,7 +225,7 @@
     /** This generation of settings is in force here. */
     void announceGeneration(long newGeneration) {
         generation = newGeneration;
-        MembershipDuty current = membership;
+        MembershipLoop current = membership;
         if (current != null) {
             current.announceGeneration(newGeneration);
         }
@@ -242,7 +242,7 @@
                                         instance.peers().host(),
                                         instance.peers().port()),
                                 instance.dataCentre())));
-        MembershipDuty current = membership;
+        MembershipLoop current = membership;
         if (current != null) {
             current.listRead(instances);
         }
@@ -265,7 +265,7 @@
                 self.id(),
                 "openRequests",
                 kernel.status().openRequests());
-        MembershipDuty current = membership;
+        MembershipLoop current = membership;
         if (current != null) {
             current.leave();
         }
@@ -326,7 +326,7 @@
     }
 
     private void onMembers(FleetView members) {
-        MembershipDuty current = membership;
+        MembershipLoop current = membership;
         PeerLinks opened = links;
         if (current != null && opened != null) {
             opened.setPeers(current.addresses());
@@ -335,7 +335,7 @@
     }
 
     private void onLinkLost(InstanceId peer) {
-        MembershipDuty current = membership;
+        MembershipLoop current = membership;
         if (current != null) {
             current.linkLost(peer);
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/membership/MembershipDuty.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/membership/MembershipLoop.java
@@ -43,8 +43,8 @@
  * up. Only hints of lost links are queued, in a small ring; a hint that finds it full is dropped and counted, since the
  * member is probed in its turn anyway.
  */
-public final class MembershipDuty implements AutoCloseable {
-    private static final KeyValueLog LOG = KeyValueLog.of(MembershipDuty.class);
+public final class MembershipLoop implements AutoCloseable {
+    private static final KeyValueLog LOG = KeyValueLog.of(MembershipLoop.class);
     private static final long TICK_MS = 50;
     private static final long GENERATIONS_MS = 500;
     private static final long CLOSE_TIMEOUT_MS = 2_000;
@@ -73,7 +73,7 @@
     private long nextTickMs;
     private long nextGenerationsMs;
 
-    private MembershipDuty(
+    private MembershipLoop(
             Member self,
             String fleetKey,
             DatagramChannel channel,
@@ -96,7 +96,7 @@
     }
 
     /** As the other {@code start}, for one that does not care about generations. */
-    public static MembershipDuty start(
+    public static MembershipLoop start(
             Member self, HostPort bind, String fleetKey, Consumer<FleetView> views, MetricRegistry registry)
             throws IOException {
         return start(self, bind, fleetKey, views, seen -> {}, registry);
@@ -108,7 +108,7 @@
      * @param views told of each new view, by the duty's thread, and must not block
      * @param generationsSeen told, likewise, of an instance whose generation is newer than the one announced here
      */
-    public static MembershipDuty start(
+    public static MembershipLoop start(
             Member self,
             HostPort bind,
             String fleetKey,
@@ -122,7 +122,7 @@
         Selector selector = Selector.open();
         channel.register(selector, SelectionKey.OP_READ);
         MembershipMetrics metrics = MembershipMetrics.create(registry);
-        MembershipDuty duty = new MembershipDuty(self, fleetKey, channel, selector, views, generationsSeen, metrics);
+        MembershipLoop duty = new MembershipLoop(self, fleetKey, channel, selector, views, generationsSeen, metrics);
         duty.thread.start();
         return duty;
     }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/membership/MembershipDutyTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/membership/MembershipLoopTest.java
@@ -25,18 +25,18 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 import org.marjoramswitch.kernel.model.Member;
 
-class MembershipDutyTest {
+class MembershipLoopTest {
     private static final HostPort ANY_PORT = HostPort.of("127.0.0.1", 0);
     private static final DataCentreId DATA_CENTRE = DataCentreId.of("leith-a");
 
-    private final List<MembershipDuty> duties = new ArrayList<>();
+    private final List<MembershipLoop> duties = new ArrayList<>();
     private final Map<InstanceId, FleetView> views = new ConcurrentHashMap<>();
     private final Map<InstanceId, Long> seen = new ConcurrentHashMap<>();
     private final MetricRegistry metrics = new MetricRegistry();
 
     @AfterEach
     void closeAll() {
-        duties.forEach(MembershipDuty::close);
+        duties.forEach(MembershipLoop::close);
     }
 
     @Test
@@ -93,7 +93,7 @@
     private void start(String name, String key) throws Exception {
         InstanceId id = InstanceId.of(name);
         Member self = Member.of(id, 1, DATA_CENTRE, false);
-        duties.add(MembershipDuty.start(
+        duties.add(MembershipLoop.start(
                 self,
                 ANY_PORT,
                 key,
