--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/CutReason.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/DisconnectReason.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Why a connection to a peer was closed. */
-enum CutReason {
+enum DisconnectReason {
     /** The peer closed it, or the network did. */
     CLOSED,
     /** Nothing came while something should have. */
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerLinks.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerLinks.java
@@ -261,14 +261,14 @@
         if (handshake.initiator()) {
             // The peer's own connection came up in the meantime; this one is not needed.
             if (route.link() != null) {
-                cut(connection, CutReason.REPLACED, nowMs);
+                cut(connection, DisconnectReason.REPLACED, nowMs);
                 return;
             }
             connection.sendHandshake(handshake.proof(route.lastLinkId()), nowMs);
             return;
         }
         if (!route.admits(self.id(), handshake, proved.lastLinkId())) {
-            cut(connection, CutReason.REPLACED, nowMs);
+            cut(connection, DisconnectReason.REPLACED, nowMs);
             return;
         }
         connection.setRoute(route);
@@ -288,17 +288,17 @@
                 peerName(connection),
                 "reason",
                 failed.detail());
-        cut(connection, CutReason.HANDSHAKE_FAILED, nowMs);
+        cut(connection, DisconnectReason.HANDSHAKE_FAILED, nowMs);
     }
 
     private void linkUp(PeerConnection connection, PeerRoute route, long nowMs) {
         PeerConnection replaced = route.link();
         if (replaced != null) {
-            cut(replaced, CutReason.REPLACED, nowMs);
+            cut(replaced, DisconnectReason.REPLACED, nowMs);
         }
         PeerConnection attempt = route.attempt();
         if (attempt != null && attempt != connection) {
-            cut(attempt, CutReason.REPLACED, nowMs);
+            cut(attempt, DisconnectReason.REPLACED, nowMs);
         }
         connection.goUp(nowMs);
         route.linkUp(connection);
@@ -318,7 +318,7 @@
 
     // Closing
 
-    private void cut(PeerConnection connection, CutReason reason, long nowMs) {
+    private void cut(PeerConnection connection, DisconnectReason reason, long nowMs) {
         if (!sockets.close(connection, reason)) {
             return;
         }
@@ -330,7 +330,7 @@
             linkDown(connection, route, reason, nowMs);
         } else if (route.attempt() == connection) {
             route.attemptEnded();
-            if (reason != CutReason.REPLACED) {
+            if (reason != DisconnectReason.REPLACED) {
                 route.backOff(nowMs, options, random.nextDouble());
             }
             LOG.debug("peer_connect_failed", "peer", route.peer(), "reason", reason.logName());
@@ -338,7 +338,7 @@
         timersSoon(nowMs);
     }
 
-    private void linkDown(PeerConnection connection, PeerRoute route, CutReason reason, long nowMs) {
+    private void linkDown(PeerConnection connection, PeerRoute route, DisconnectReason reason, long nowMs) {
         route.linkLost(connection.upSinceMs(), nowMs, options);
         route.backOff(nowMs, options, random.nextDouble());
         route.clear(metrics);
@@ -354,7 +354,7 @@
             flush(route, nowMs);
         }
         for (PeerConnection connection : sockets.connections()) {
-            cut(connection, CutReason.SHUTDOWN, nowMs);
+            cut(connection, DisconnectReason.SHUTDOWN, nowMs);
         }
         sockets.close();
     }
@@ -398,7 +398,7 @@
                 link.flush(nowMs);
             }
         } catch (IOException e) {
-            cut(link, CutReason.CLOSED, nowMs);
+            cut(link, DisconnectReason.CLOSED, nowMs);
         }
     }
 
@@ -416,7 +416,7 @@
         LOG.error("peer_message_too_large", "error", ErrorType.PEER_FRAME_INVALID.number(), "peer", route.peer());
         // Settings bodies use no numbered names, so the peer's decoder misses nothing and the link can stay.
         if (!(message instanceof PeerMessage.SettingsBodies)) {
-            cut(link, CutReason.MESSAGE_TOO_LARGE, nowMs);
+            cut(link, DisconnectReason.MESSAGE_TOO_LARGE, nowMs);
         }
         return true;
     }
@@ -451,7 +451,7 @@
     }
 
     private void checkLife(PeerConnection connection, long nowMs) {
-        CutReason reason = reasonToCut(connection, nowMs);
+        DisconnectReason reason = reasonToCut(connection, nowMs);
         if (reason != null) {
             cut(connection, reason, nowMs);
             return;
@@ -461,7 +461,7 @@
                 connection.append(HEARTBEAT);
                 connection.flush(nowMs);
             } catch (IOException e) {
-                cut(connection, CutReason.CLOSED, nowMs);
+                cut(connection, DisconnectReason.CLOSED, nowMs);
             }
         }
         if (!connection.up() || connection.active(nowMs, options)) {
@@ -469,14 +469,14 @@
         }
     }
 
-    private @Nullable CutReason reasonToCut(PeerConnection connection, long nowMs) {
+    private @Nullable DisconnectReason reasonToCut(PeerConnection connection, long nowMs) {
         if (connection.handshakeOverdue(nowMs, options)) {
-            return CutReason.HANDSHAKE_TIMEOUT;
+            return DisconnectReason.HANDSHAKE_TIMEOUT;
         }
         if (connection.silent(nowMs, options)) {
-            return CutReason.SILENT;
+            return DisconnectReason.SILENT;
         }
-        return connection.idle(nowMs, options) ? CutReason.IDLE : null;
+        return connection.idle(nowMs, options) ? DisconnectReason.IDLE : null;
     }
 
     /** Does for a route what is due: closes, gives up, connects. */
@@ -488,7 +488,7 @@
             return;
         }
         if (route.takeCutRequest() && link != null) {
-            cut(link, CutReason.RECEIVER_FULL, nowMs);
+            cut(link, DisconnectReason.RECEIVER_FULL, nowMs);
             return;
         }
         if (route.overflowed()) {
@@ -509,11 +509,11 @@
             return;
         }
         if (link != null) {
-            cut(link, CutReason.PEER_REMOVED, nowMs);
+            cut(link, DisconnectReason.PEER_REMOVED, nowMs);
         }
         PeerConnection attempt = route.attempt();
         if (attempt != null) {
-            cut(attempt, CutReason.PEER_REMOVED, nowMs);
+            cut(attempt, DisconnectReason.PEER_REMOVED, nowMs);
         }
         route.clear(metrics);
     }
@@ -523,7 +523,7 @@
         // cutting the link makes both sides rebuild it.
         LOG.error("peer_ring_full", "error", ErrorType.RING_FULL.number(), "peer", route.peer());
         if (link != null) {
-            cut(link, CutReason.RING_FULL, nowMs);
+            cut(link, DisconnectReason.RING_FULL, nowMs);
         } else {
             giveUp(route);
         }
@@ -573,7 +573,7 @@
         }
 
         @Override
-        public void onFailure(PeerConnection connection, CutReason reason, long nowMs) {
+        public void onFailure(PeerConnection connection, DisconnectReason reason, long nowMs) {
             cut(connection, reason, nowMs);
         }
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerMetrics.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerMetrics.java
@@ -22,7 +22,7 @@
     private final Map<MessageType, Counter> messagesIn = new EnumMap<>(MessageType.class);
     private final Map<MessageType, Counter> messagesOut = new EnumMap<>(MessageType.class);
     private final Map<MessageType, Counter> dropped = new EnumMap<>(MessageType.class);
-    private final Map<CutReason, Counter> cuts = new EnumMap<>(CutReason.class);
+    private final Map<DisconnectReason, Counter> cuts = new EnumMap<>(DisconnectReason.class);
 
     private PeerMetrics(MetricRegistry registry) {
         bytesIn = registry.meter("peer.bytes_in");
@@ -38,7 +38,7 @@
             messagesOut.put(type, registry.counter("peer.messages_out." + type.metricName()));
             dropped.put(type, registry.counter("peer.messages_dropped." + type.metricName()));
         }
-        for (CutReason reason : CutReason.values()) {
+        for (DisconnectReason reason : DisconnectReason.values()) {
             cuts.put(reason, registry.counter("peer.cuts." + reason.logName()));
         }
     }
@@ -59,7 +59,7 @@
         increment(dropped, MessageType.of(message));
     }
 
-    void cut(CutReason reason) {
+    void cut(DisconnectReason reason) {
         increment(cuts, reason);
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerSockets.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerSockets.java
@@ -90,7 +90,7 @@
     }
 
     /** Closes a connection; false where it was closed before. */
-    boolean close(PeerConnection connection, CutReason reason) {
+    boolean close(PeerConnection connection, DisconnectReason reason) {
         if (!connections.remove(connection)) {
             return false;
         }
@@ -113,11 +113,11 @@
         try {
             onReady(key, connection, handler, nowMs);
         } catch (IOException e) {
-            handler.onFailure(connection, CutReason.CLOSED, nowMs);
+            handler.onFailure(connection, DisconnectReason.CLOSED, nowMs);
         } catch (RuntimeException e) {
             // One peer's connection must not take down the thread that serves all of them.
             LOG.error(e, "peer_link_error", "error", ErrorType.INTERNAL.number());
-            handler.onFailure(connection, CutReason.FRAME_INVALID, nowMs);
+            handler.onFailure(connection, DisconnectReason.FRAME_INVALID, nowMs);
         }
     }
 
@@ -157,7 +157,7 @@
                 .count();
         if (unproved >= MAX_UNPROVED_CONNECTIONS) {
             // Whoever connects without the key holds a place only until the handshake's timeout, and only so many.
-            metrics.cut(CutReason.TOO_MANY);
+            metrics.cut(DisconnectReason.TOO_MANY);
             channel.close();
             return;
         }
@@ -181,13 +181,13 @@
         for (int reads = 1; bytes > 0 && reads <= MAX_READS; reads++) {
             if (!connection.readFrames((array, offset, length) ->
                     !isOpen(connection) || handler.onFrame(connection, array, offset, length, nowMs))) {
-                handler.onFailure(connection, CutReason.FRAME_INVALID, nowMs);
+                handler.onFailure(connection, DisconnectReason.FRAME_INVALID, nowMs);
                 return;
             }
             bytes = isOpen(connection) && reads < MAX_READS ? connection.read(nowMs) : 0;
         }
         if (bytes < 0) {
-            handler.onFailure(connection, CutReason.CLOSED, nowMs);
+            handler.onFailure(connection, DisconnectReason.CLOSED, nowMs);
         }
     }
 
@@ -204,6 +204,6 @@
         void onWritable(PeerConnection connection, long nowMs);
 
         /** The connection is of no more use and is to be closed by the handler. */
-        void onFailure(PeerConnection connection, CutReason reason, long nowMs);
+        void onFailure(PeerConnection connection, DisconnectReason reason, long nowMs);
     }
 }
