--- a/daemon/src/main/java/org/marjoramswitch/daemon/LatePeerSender.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/DeferredPeerSender.java
@@ -10,7 +10,7 @@
  * Stands for the links in the duties that the links themselves depend on. What is sent before the links are there is
  * dropped, as it is for a peer without a link; a link that comes up registers anew.
  */
-final class LatePeerSender implements PeerSender {
+final class DeferredPeerSender implements PeerSender {
     private volatile @Nullable PeerLinks links;
 
     void setLinks(PeerLinks started) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
@@ -60,7 +60,7 @@
     private final Parts parts;
     private final InstanceClock clock = InstanceClock.start();
     private final MetricRegistry metrics = new MetricRegistry();
-    private final LatePeerSender peers = new LatePeerSender();
+    private final DeferredPeerSender peers = new DeferredPeerSender();
     private final Member self;
     private final XnioWorker worker;
     private final KernelDriver kernel;
@@ -193,7 +193,7 @@
         return directory;
     }
 
-    LatePeerSender peers() {
+    DeferredPeerSender peers() {
         return peers;
     }
 
