--- a/daemon/src/main/java/org/marjoramswitch/daemon/Daemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/Daemon.java
@@ -46,29 +46,29 @@
     private static final long LONGEST_WAIT_MS = 300_000;
 
     private final LocalSettings settings;
-    private final Parts parts;
+    private final StartedComponents components;
     private final InstanceCore core;
     private final ConfigurationDuty configuration;
     private final CallerServer callers;
     private @Nullable UndertowTargetClient targets;
     private volatile FleetSettings fleetSettings = FleetSettings.NONE;
 
-    private Daemon(LocalSettings settings, Parts parts) throws IOException {
+    private Daemon(LocalSettings settings, StartedComponents components) throws IOException {
         this.settings = settings;
-        this.parts = parts;
+        this.components = components;
         CallerOptions callerOptions =
                 CallerOptions.builder().maxBodyBytes(settings.maxBodyBytes()).build();
         KernelOptions options = KernelOptions.defaults().withMaxWaiting(settings.maxWaiting());
         this.core = InstanceCore.start(
                 settings,
-                parts,
+                components,
                 options,
                 this::startTargets,
                 callerOptions.times().addressKeepMs());
         EtcdGatewayStore store = startStore();
         core.keepCrashesIn(store);
         startLoadReader();
-        this.configuration = parts.add(ConfigurationDuty.start(
+        this.configuration = components.add(ConfigurationDuty.start(
                 core.self(), store, core.peers(), this::onSettings, ConfigurationOptions.DEFAULT, core.metrics()));
         RequestKeys keys = RequestKeys.create(
                 core.self(), callerOptions, core.peers(), core.directory(), core.clock(), System::currentTimeMillis);
@@ -79,7 +79,7 @@
                 keys::onMessage,
                 configuration::onView,
                 seen -> configuration.generationSeen(seen.instance(), seen.generation()));
-        parts.add(FleetListReader.start(
+        components.add(FleetListReader.start(
                 store, FleetListReader.DEFAULT_PERIOD_MS, core.clock().startMs(), core.metrics(), core::onList));
     }
 
@@ -90,8 +90,8 @@
      *     addresses cannot be bound
      */
     public static Daemon start(LocalSettings settings) {
-        return Parts.start(parts -> {
-            Daemon daemon = new Daemon(settings, parts);
+        return StartedComponents.start(components -> {
+            Daemon daemon = new Daemon(settings, components);
             daemon.core.logStarted(daemon.callersAddress());
             return daemon;
         });
@@ -99,24 +99,24 @@
 
     private TargetClient startTargets(XnioWorker worker, MetricRegistry metrics) {
         UndertowTargetClient started =
-                parts.add(UndertowTargetClient.start(worker, TargetClientOptions.defaults(), metrics));
+                components.add(UndertowTargetClient.start(worker, TargetClientOptions.defaults(), metrics));
         targets = started;
         return started;
     }
 
     private EtcdGatewayStore startStore() {
         KeyValueOptions options = KeyValueOptions.of(settings.instance().name().hashCode());
-        return parts.add(EtcdGatewayStore.start(settings.platform(), options, core.worker(), core.metrics()));
+        return components.add(EtcdGatewayStore.start(settings.platform(), options, core.worker(), core.metrics()));
     }
 
     private void startLoadReader() {
         UndertowTargetClient client = Objects.requireNonNull(targets);
-        parts.add(LoadReader.start(
+        components.add(LoadReader.start(
                 client, LoadReaderOptions.defaults(), core.clock(), this::arbitratedEngines, core.decisions()::offer));
     }
 
     private Claims startClaims(EtcdGatewayStore store) {
-        ClaimStore claims = parts.add(ClaimStore.start(
+        ClaimStore claims = components.add(ClaimStore.start(
                 store,
                 store,
                 ClaimOptions.defaults(),
@@ -128,7 +128,7 @@
     }
 
     private CallerServer startCallers(CallerOptions options, RequestKeys keys, Claims claims) {
-        return parts.add(CallerServer.start(
+        return components.add(CallerServer.start(
                 settings.callers(),
                 options,
                 core.decisions(),
--- a/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
@@ -36,7 +36,7 @@
 
 /**
  * One instance on a platform with routes, targets and callers of its own ways: the same core as {@link Daemon}, with
- * the parts that a {@link Platform} gives in place of the product's own interfaces.
+ * the components that a {@link Platform} gives in place of the product's own interfaces.
  */
 public final class ForwardingDaemon extends BaseInstance {
     /** The pause between two readings of the list of instances, and after one that failed. */
@@ -50,24 +50,24 @@
     private volatile boolean refusing;
     private Map<TargetId, TargetSettings> targets = Map.of();
 
-    private ForwardingDaemon(LocalSettings local, KernelOptions options, Platform platform, Parts parts)
+    private ForwardingDaemon(LocalSettings local, KernelOptions options, Platform platform, StartedComponents components)
             throws IOException {
         this.platform = platform;
         this.core = InstanceCore.start(
                 local,
-                parts,
+                components,
                 options.withMaxWaiting(local.maxWaiting()),
                 (worker, metrics) ->
-                        parts.add(UndertowTargetClient.start(worker, platform.targets(), platform.protocol(), metrics)),
+                        components.add(UndertowTargetClient.start(worker, platform.targets(), platform.protocol(), metrics)),
                 platform.callers().times().addressKeepMs());
-        SharedWatchStore store = parts.add(SharedWatchStore.start(
+        SharedWatchStore store = components.add(SharedWatchStore.start(
                 platform.store().apply(core),
                 core.self(),
                 core.peers(),
                 core.clock(),
                 core.worker().getIoThread()));
         core.keepCrashesIn(store);
-        this.callers = parts.add(ForwardServer.start(
+        this.callers = components.add(ForwardServer.start(
                 new ForwardServer.Parts(
                         local.callers(),
                         platform.others().apply(new View(this)),
@@ -80,7 +80,7 @@
                         core.clock()),
                 core.worker(),
                 core.metrics()));
-        this.configuration = parts.add(RoutedSettingsDuty.start(
+        this.configuration = components.add(RoutedSettingsDuty.start(
                 store,
                 platform.settingsKey(),
                 platform.settingsDecoder(),
@@ -93,10 +93,10 @@
                 PeerRouter.Keys.NONE,
                 store::onView,
                 seen -> configuration.versionSeen(seen.instance(), seen.generation()));
-        parts.add(TargetList.start(
+        components.add(TargetList.start(
                 store, platform.targetPrefix(), platform.targetDecoder(), this::onTargets, core.clock()));
-        InstanceRegistration registration = parts.add(InstanceRegistration.start(store, local));
-        parts.add(FleetListReader.start(store, LIST_PAUSE_MS, core.clock().startMs(), core.metrics(), list -> {
+        InstanceRegistration registration = components.add(InstanceRegistration.start(store, local));
+        components.add(FleetListReader.start(store, LIST_PAUSE_MS, core.clock().startMs(), core.metrics(), list -> {
             core.onList(list);
             registration.listed(list.instances().containsKey(local.instance()));
         }));
@@ -150,8 +150,8 @@
      *     addresses cannot be bound
      */
     public static ForwardingDaemon start(LocalSettings local, KernelOptions options, Platform platform) {
-        return Parts.start(parts -> {
-            ForwardingDaemon daemon = new ForwardingDaemon(local, options, platform, parts);
+        return StartedComponents.start(components -> {
+            ForwardingDaemon daemon = new ForwardingDaemon(local, options, platform, components);
             daemon.core.logStarted(local.callers());
             return daemon;
         });
--- a/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
@@ -57,7 +57,7 @@
     private static final KeyValueLog LOG = KeyValueLog.of(InstanceCore.class);
 
     private final LocalSettings settings;
-    private final Parts parts;
+    private final StartedComponents components;
     private final InstanceClock clock = InstanceClock.start();
     private final MetricRegistry metrics = new MetricRegistry();
     private final DeferredPeerSender peers = new DeferredPeerSender();
@@ -78,16 +78,16 @@
     private volatile long generation;
 
     private InstanceCore(
-            LocalSettings settings, Parts parts, KernelOptions options, Targets targets, long addressKeepMs)
+            LocalSettings settings, StartedComponents components, KernelOptions options, Targets targets, long addressKeepMs)
             throws IOException {
         this.settings = settings;
-        this.parts = parts;
+        this.components = components;
         this.self = Member.of(settings.instance(), clock.startMs(), settings.dataCentre(), false)
                 .withProcessor(settings.processorMillicores());
         ProcessMetrics.register(metrics, settings.processorMillicores());
         this.worker = startWorker();
         this.kernel = KernelDriver.of(InstanceKernel.create(self, options));
-        this.decisions = parts.add(DecisionLoop.builder(kernel, clock, settings.maxWaiting(), metrics)
+        this.decisions = components.add(DecisionLoop.builder(kernel, clock, settings.maxWaiting(), metrics)
                 .peers(peers)
                 .targets(targets.start(worker, metrics))
                 .observer(recorder(RecordingHeader.of(self, options)))
@@ -95,7 +95,7 @@
                 .crashKeeper(this::keepCrashes)
                 .start());
         this.directory = directory(addressKeepMs);
-        this.drain = parts.add(
+        this.drain = components.add(
                 Drain.of(() -> decisions.drained().isDone() && noCallIsOpen(), clock, settings.drainDeadlineMs()));
     }
 
@@ -107,9 +107,9 @@
 
     /** @param addressKeepMs how long callers may use an address answer */
     static InstanceCore start(
-            LocalSettings settings, Parts parts, KernelOptions options, Targets targets, long addressKeepMs)
+            LocalSettings settings, StartedComponents components, KernelOptions options, Targets targets, long addressKeepMs)
             throws IOException {
-        return new InstanceCore(settings, parts, options, targets, addressKeepMs);
+        return new InstanceCore(settings, components, options, targets, addressKeepMs);
     }
 
     /**
@@ -127,10 +127,10 @@
             throws IOException {
         onView = views;
         PeerRouter router = PeerRouter.of(directory, decisions, messages, keys, this::onLinkLost);
-        PeerLinks started = parts.add(PeerLinks.start(self, settings.peers(), settings.fleetKey(), router, metrics));
+        PeerLinks started = components.add(PeerLinks.start(self, settings.peers(), settings.fleetKey(), router, metrics));
         links = started;
         peers.setLinks(started);
-        MembershipLoop joined = parts.add(MembershipLoop.start(
+        MembershipLoop joined = components.add(MembershipLoop.start(
                 self, peersAddress(), settings.fleetKey(), this::onMembers, generationsSeen, metrics));
         membership = joined;
         // What the other duties told before there was a membership is made up for.
@@ -286,7 +286,7 @@
                 "openRequests",
                 kernel.status().openRequests());
         decisions.close();
-        parts.close();
+        components.close();
     }
 
     private XnioWorker startWorker() throws IOException {
@@ -298,12 +298,12 @@
                         .set(Options.WORKER_TASK_MAX_THREADS, TASK_THREADS)
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
-        return parts.add(started, started::shutdownNow);
+        return components.add(started, started::shutdownNow);
     }
 
     private EventObserver recorder(RecordingHeader header) throws IOException {
         String file = settings.recordFile();
-        return file == null ? EventObserver.NONE : parts.add(EventRecorder.start(Path.of(file), header));
+        return file == null ? EventObserver.NONE : components.add(EventRecorder.start(Path.of(file), header));
     }
 
     /** The decisions may be through with a request whose answer the caller still reads. */
--- a/daemon/src/main/java/org/marjoramswitch/daemon/Parts.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/StartedComponents.java
@@ -6,30 +6,30 @@
 import java.util.Deque;
 import org.marjoramswitch.daemon.log.KeyValueLog;
 
-/** The started parts of an instance, closed in the reverse order of their start. */
-final class Parts implements AutoCloseable {
-    private static final KeyValueLog LOG = KeyValueLog.of(Parts.class);
+/** The started components of an instance, closed in the reverse order of their start. */
+final class StartedComponents implements AutoCloseable {
+    private static final KeyValueLog LOG = KeyValueLog.of(StartedComponents.class);
 
     private final Deque<AutoCloseable> started = new ArrayDeque<>();
 
     /** Starts an instance; what has started by then is closed where it cannot. */
     static <T> T start(Start<T> start) {
-        Parts parts = new Parts();
+        StartedComponents components = new StartedComponents();
         try {
-            return start.with(parts);
+            return start.with(components);
         } catch (IOException fault) {
-            parts.close();
+            components.close();
             throw new UncheckedIOException(fault);
         } catch (RuntimeException fault) {
-            parts.close();
+            components.close();
             throw fault;
         }
     }
 
-    /** Starts an instance of these parts. */
+    /** Starts an instance of these components. */
     @FunctionalInterface
     interface Start<T> {
-        T with(Parts parts) throws IOException;
+        T with(StartedComponents components) throws IOException;
     }
 
     <T extends AutoCloseable> T add(T part) {
