--- a/daemon/src/main/java/org/marjoramswitch/daemon/BaseInstance.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/BaseInstance.java
@@ -13,7 +13,7 @@
     }
 
     @Override
-    public void cutDrainShort() {
+    public void abortDrain() {
         core().drainState().close();
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/DaemonMain.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/DaemonMain.java
@@ -83,7 +83,7 @@
         if (count == 1) {
             instance.drain();
         } else {
-            instance.cutDrainShort();
+            instance.abortDrain();
         }
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/RunningInstance.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/RunningInstance.java
@@ -11,7 +11,7 @@
     CompletableFuture<Boolean> drained();
 
     /** Ends a graceful shutdown where it stands. */
-    void cutDrainShort();
+    void abortDrain();
 
     /** The file with the instance's own settings may have changed; nothing that runs is cut by it. */
     void reload();
