--- a/daemon/src/main/java/org/marjoramswitch/daemon/DeferredPeerSender.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/DeferredPeerSender.java
@@ -26,10 +26,10 @@
     }
 
     /** Breaks the link to a peer; it comes up again by itself. */
-    void cut(InstanceId peer) {
+    void disconnect(InstanceId peer) {
         PeerLinks current = links;
         if (current != null) {
-            current.cut(peer);
+            current.disconnect(peer);
         }
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
@@ -91,7 +91,7 @@
                 .peers(peers)
                 .targets(targets.start(worker, metrics))
                 .observer(recorder(RecordingHeader.of(self, options)))
-                .linkCutter(peers::cut)
+                .linkCutter(peers::disconnect)
                 .crashKeeper(this::keepCrashes)
                 .start());
         this.directory = directory(addressKeepMs);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerLinks.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerLinks.java
@@ -142,7 +142,7 @@
     /**
      * Closes the link to a peer of which a message could not be taken in; it is opened again while the peer is wanted.
      */
-    public void cut(InstanceId peer) {
+    public void disconnect(InstanceId peer) {
         PeerRoute route = routes.get(peer);
         if (route != null) {
             route.requestCut();
@@ -261,14 +261,14 @@
         if (handshake.initiator()) {
             // The peer's own connection came up in the meantime; this one is not needed.
             if (route.link() != null) {
-                cut(connection, DisconnectReason.REPLACED, nowMs);
+                disconnect(connection, DisconnectReason.REPLACED, nowMs);
                 return;
             }
             connection.sendHandshake(handshake.proof(route.lastLinkId()), nowMs);
             return;
         }
         if (!route.admits(self.id(), handshake, proved.lastLinkId())) {
-            cut(connection, DisconnectReason.REPLACED, nowMs);
+            disconnect(connection, DisconnectReason.REPLACED, nowMs);
             return;
         }
         connection.setRoute(route);
@@ -288,17 +288,17 @@
                 peerName(connection),
                 "reason",
                 failed.detail());
-        cut(connection, DisconnectReason.HANDSHAKE_FAILED, nowMs);
+        disconnect(connection, DisconnectReason.HANDSHAKE_FAILED, nowMs);
     }
 
     private void linkUp(PeerConnection connection, PeerRoute route, long nowMs) {
         PeerConnection replaced = route.link();
         if (replaced != null) {
-            cut(replaced, DisconnectReason.REPLACED, nowMs);
+            disconnect(replaced, DisconnectReason.REPLACED, nowMs);
         }
         PeerConnection attempt = route.attempt();
         if (attempt != null && attempt != connection) {
-            cut(attempt, DisconnectReason.REPLACED, nowMs);
+            disconnect(attempt, DisconnectReason.REPLACED, nowMs);
         }
         connection.goUp(nowMs);
         route.linkUp(connection);
@@ -318,7 +318,7 @@
 
     // Closing
 
-    private void cut(PeerConnection connection, DisconnectReason reason, long nowMs) {
+    private void disconnect(PeerConnection connection, DisconnectReason reason, long nowMs) {
         if (!sockets.close(connection, reason)) {
             return;
         }
@@ -354,7 +354,7 @@
             flush(route, nowMs);
         }
         for (PeerConnection connection : sockets.connections()) {
-            cut(connection, DisconnectReason.SHUTDOWN, nowMs);
+            disconnect(connection, DisconnectReason.SHUTDOWN, nowMs);
         }
         sockets.close();
     }
@@ -398,7 +398,7 @@
                 link.flush(nowMs);
             }
         } catch (IOException e) {
-            cut(link, DisconnectReason.CLOSED, nowMs);
+            disconnect(link, DisconnectReason.CLOSED, nowMs);
         }
     }
 
@@ -416,7 +416,7 @@
         LOG.error("peer_message_too_large", "error", ErrorType.PEER_FRAME_INVALID.number(), "peer", route.peer());
         // Settings bodies use no numbered names, so the peer's decoder misses nothing and the link can stay.
         if (!(message instanceof PeerMessage.SettingsBodies)) {
-            cut(link, DisconnectReason.MESSAGE_TOO_LARGE, nowMs);
+            disconnect(link, DisconnectReason.MESSAGE_TOO_LARGE, nowMs);
         }
         return true;
     }
@@ -453,7 +453,7 @@
     private void checkLife(PeerConnection connection, long nowMs) {
         DisconnectReason reason = reasonToCut(connection, nowMs);
         if (reason != null) {
-            cut(connection, reason, nowMs);
+            disconnect(connection, reason, nowMs);
             return;
         }
         if (connection.heartbeatDue(nowMs, options)) {
@@ -461,7 +461,7 @@
                 connection.append(HEARTBEAT);
                 connection.flush(nowMs);
             } catch (IOException e) {
-                cut(connection, DisconnectReason.CLOSED, nowMs);
+                disconnect(connection, DisconnectReason.CLOSED, nowMs);
             }
         }
         if (!connection.up() || connection.active(nowMs, options)) {
@@ -488,7 +488,7 @@
             return;
         }
         if (route.takeCutRequest() && link != null) {
-            cut(link, DisconnectReason.RECEIVER_FULL, nowMs);
+            disconnect(link, DisconnectReason.RECEIVER_FULL, nowMs);
             return;
         }
         if (route.overflowed()) {
@@ -509,11 +509,11 @@
             return;
         }
         if (link != null) {
-            cut(link, DisconnectReason.PEER_REMOVED, nowMs);
+            disconnect(link, DisconnectReason.PEER_REMOVED, nowMs);
         }
         PeerConnection attempt = route.attempt();
         if (attempt != null) {
-            cut(attempt, DisconnectReason.PEER_REMOVED, nowMs);
+            disconnect(attempt, DisconnectReason.PEER_REMOVED, nowMs);
         }
         route.clear(metrics);
     }
@@ -523,7 +523,7 @@
         // cutting the link makes both sides rebuild it.
         LOG.error("peer_ring_full", "error", ErrorType.RING_FULL.number(), "peer", route.peer());
         if (link != null) {
-            cut(link, DisconnectReason.RING_FULL, nowMs);
+            disconnect(link, DisconnectReason.RING_FULL, nowMs);
         } else {
             giveUp(route);
         }
@@ -574,7 +574,7 @@
 
         @Override
         public void onFailure(PeerConnection connection, DisconnectReason reason, long nowMs) {
-            cut(connection, reason, nowMs);
+            disconnect(connection, reason, nowMs);
         }
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerMetrics.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerMetrics.java
@@ -59,7 +59,7 @@
         increment(dropped, MessageType.of(message));
     }
 
-    void cut(DisconnectReason reason) {
+    void disconnect(DisconnectReason reason) {
         increment(cuts, reason);
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerSockets.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerSockets.java
@@ -95,7 +95,7 @@
             return false;
         }
         connection.close();
-        metrics.cut(reason);
+        metrics.disconnect(reason);
         return true;
     }
 
@@ -157,7 +157,7 @@
                 .count();
         if (unproved >= MAX_UNPROVED_CONNECTIONS) {
             // Whoever connects without the key holds a place only until the handshake's timeout, and only so many.
-            metrics.cut(DisconnectReason.TOO_MANY);
+            metrics.disconnect(DisconnectReason.TOO_MANY);
             channel.close();
             return;
         }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/peer/PeerLinksTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/peer/PeerLinksTest.java
@@ -73,7 +73,7 @@
         listenerA.expectChange(B, 1, true);
         listenerB.expectChange(A, 1, true);
 
-        b.cut(A);
+        b.disconnect(A);
 
         listenerA.expectChange(B, 1, false);
         listenerB.expectChange(A, 1, false);
