--- a/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
@@ -20,7 +20,7 @@
 import org.marjoramswitch.daemon.fleet.FleetDirectory;
 import org.marjoramswitch.daemon.fleet.PoisonRequestStore;
 import org.marjoramswitch.daemon.log.KeyValueLog;
-import org.marjoramswitch.daemon.membership.MembershipDuty;
+import org.marjoramswitch.daemon.membership.MembershipLoop;
 import org.marjoramswitch.daemon.peer.PeerLinks;
 import org.marjoramswitch.daemon.platform.FleetList;
 import org.marjoramswitch.daemon.platform.KeyValueStore;
@@ -57,10 +57,10 @@
     private static final KeyValueLog LOG = KeyValueLog.of(InstanceCore.class);
 
     private final LocalSettings settings;
-    private final Parts parts;
+    private final StartedComponents components;
     private final InstanceClock clock = InstanceClock.start();
     private final MetricRegistry metrics = new MetricRegistry();
-    private final LatePeerSender peers = new LatePeerSender();
+    private final DeferredPeerSender peers = new DeferredPeerSender();
     private final Member self;
     private final XnioWorker worker;
     private final KernelDriver kernel;
@@ -69,7 +69,7 @@
     private final Drain drain;
     private volatile @Nullable PeerLinks links;
     /** Null only while the instance starts: the duties that tell it something are there before it. */
-    private volatile @Nullable MembershipDuty membership;
+    private volatile @Nullable MembershipLoop membership;
 
     private volatile Consumer<FleetView> onView = view -> {};
     /** Null only while the instance starts: it has sent no request yet. */
@@ -78,24 +78,24 @@
     private volatile long generation;
 
     private InstanceCore(
-            LocalSettings settings, Parts parts, KernelOptions options, Targets targets, long addressKeepMs)
+            LocalSettings settings, StartedComponents components, KernelOptions options, Targets targets, long addressKeepMs)
             throws IOException {
         this.settings = settings;
-        this.parts = parts;
+        this.components = components;
         this.self = Member.of(settings.instance(), clock.startMs(), settings.dataCentre(), false)
                 .withProcessor(settings.processorMillicores());
         ProcessMetrics.register(metrics, settings.processorMillicores());
         this.worker = startWorker();
         this.kernel = KernelDriver.of(InstanceKernel.create(self, options));
-        this.decisions = parts.add(DecisionLoop.builder(kernel, clock, settings.maxWaiting(), metrics)
+        this.decisions = components.add(DecisionLoop.builder(kernel, clock, settings.maxWaiting(), metrics)
                 .peers(peers)
                 .targets(targets.start(worker, metrics))
                 .observer(recorder(RecordingHeader.of(self, options)))
-                .linkCutter(peers::cut)
+                .linkCutter(peers::disconnect)
                 .crashKeeper(this::keepCrashes)
                 .start());
         this.directory = directory(addressKeepMs);
-        this.drain = parts.add(
+        this.drain = components.add(
                 Drain.of(() -> decisions.drained().isDone() && noCallIsOpen(), clock, settings.drainDeadlineMs()));
     }
 
@@ -107,9 +107,9 @@
 
     /** @param addressKeepMs how long callers may use an address answer */
     static InstanceCore start(
-            LocalSettings settings, Parts parts, KernelOptions options, Targets targets, long addressKeepMs)
+            LocalSettings settings, StartedComponents components, KernelOptions options, Targets targets, long addressKeepMs)
             throws IOException {
-        return new InstanceCore(settings, parts, options, targets, addressKeepMs);
+        return new InstanceCore(settings, components, options, targets, addressKeepMs);
     }
 
     /**
@@ -127,10 +127,10 @@
             throws IOException {
         onView = views;
         PeerRouter router = PeerRouter.of(directory, decisions, messages, keys, this::onLinkLost);
-        PeerLinks started = parts.add(PeerLinks.start(self, settings.peers(), settings.fleetKey(), router, metrics));
+        PeerLinks started = components.add(PeerLinks.start(self, settings.peers(), settings.fleetKey(), router, metrics));
         links = started;
         peers.setLinks(started);
-        MembershipDuty joined = parts.add(MembershipDuty.start(
+        MembershipLoop joined = components.add(MembershipLoop.start(
                 self, peersAddress(), settings.fleetKey(), this::onMembers, generationsSeen, metrics));
         membership = joined;
         // What the other duties told before there was a membership is made up for.
@@ -193,7 +193,7 @@
         return directory;
     }
 
-    LatePeerSender peers() {
+    DeferredPeerSender peers() {
         return peers;
     }
 
@@ -226,7 +226,7 @@
     /** This generation of settings is in force here. */
     void announceGeneration(long newGeneration) {
         generation = newGeneration;
-        MembershipDuty current = membership;
+        MembershipLoop current = membership;
         if (current != null) {
             current.announceGeneration(newGeneration);
         }
@@ -243,7 +243,7 @@
                                         instance.peers().host(),
                                         instance.peers().port()),
                                 instance.dataCentre())));
-        MembershipDuty current = membership;
+        MembershipLoop current = membership;
         if (current != null) {
             current.listRead(instances);
         }
@@ -266,7 +266,7 @@
                 self.id(),
                 "openRequests",
                 kernel.status().openRequests());
-        MembershipDuty current = membership;
+        MembershipLoop current = membership;
         if (current != null) {
             current.leave();
         }
@@ -287,7 +287,7 @@
                 "openRequests",
                 kernel.status().openRequests());
         decisions.close();
-        parts.close();
+        components.close();
     }
 
     private XnioWorker startWorker() throws IOException {
@@ -299,12 +299,12 @@
                         .set(Options.WORKER_TASK_MAX_THREADS, TASK_THREADS)
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
-        return parts.add(started, started::shutdownNow);
+        return components.add(started, started::shutdownNow);
     }
 
     private EventObserver recorder(RecordingHeader header) throws IOException {
         String file = settings.recordFile();
-        return file == null ? EventObserver.NONE : parts.add(EventRecorder.start(Path.of(file), header));
+        return file == null ? EventObserver.NONE : components.add(EventRecorder.start(Path.of(file), header));
     }
 
     /** The decisions may be through with a request whose answer the caller still reads. */
@@ -327,7 +327,7 @@
     }
 
     private void onMembers(FleetView members) {
-        MembershipDuty current = membership;
+        MembershipLoop current = membership;
         PeerLinks opened = links;
         if (current != null && opened != null) {
             opened.setPeers(current.addresses());
@@ -336,7 +336,7 @@
     }
 
     private void onLinkLost(InstanceId peer) {
-        MembershipDuty current = membership;
+        MembershipLoop current = membership;
         if (current != null) {
             current.linkLost(peer);
         }
