--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/ActionRunner.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/ActionRunner.java
@@ -19,7 +19,7 @@
 import org.marjoramswitch.kernel.settings.PoolSettings;
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
-/** Carries out the kernel's actions; only the deciding thread uses it. */
+/** Executes the kernel's actions. Confined to the decision thread. */
 final class ActionRunner {
     private static final KeyValueLog LOG = KeyValueLog.of(ActionRunner.class);
     private static final KeyValueLog DECISIONS = KeyValueLog.of(org.marjoramswitch.kernel.action.Decision.class);
@@ -58,18 +58,18 @@
         return drained;
     }
 
-    /** Carries out what the kernel decided on an event, in order. */
-    void carryOut(Event event, List<Action> actions) {
+    /** Executes the kernel's actions for an event, in order. */
+    void execute(Event event, List<Action> actions) {
         if (event instanceof Event.SettingsAccepted accepted) {
             settings = accepted.settings();
         }
-        actions.forEach(this::carryOut);
+        actions.forEach(this::execute);
         if (event instanceof Event.TargetEnded ended) {
             settleAttempt(ended.requestId());
         }
     }
 
-    private void carryOut(Action action) {
+    private void execute(Action action) {
         if (action instanceof Action.SendPeer send) {
             peers.send(send.to(), send.message());
         } else if (action instanceof Action.Dispatch dispatch) {
@@ -80,8 +80,8 @@
             complete(complete.requestId());
         } else if (action instanceof Action.Fail fail) {
             fail(fail.requestId(), fail.failure());
-        } else if (action instanceof Action.KeepCrashes kept) {
-            crashKeeper.accept(kept);
+        } else if (action instanceof Action.KeepCrashes crashes) {
+            crashKeeper.accept(crashes);
         } else if (action instanceof Action.Decided decided) {
             DECISIONS.info(decided.decision().event(), decided.decision().fields());
         } else if (action instanceof Action.Drained) {
@@ -97,32 +97,32 @@
             refuse(dispatch, "no such request, target or pool");
             return;
         }
-        boolean waited = !request.wasSent();
+        boolean firstDispatch = !request.wasSent();
         if (!request.beginAttempt(dispatch.attempt())) {
             refuse(dispatch, "the request has ended");
             return;
         }
-        if (waited) {
+        if (firstDispatch) {
             requests.stopWaiting();
         }
         request.setEndOutstanding(true);
         AttemptRelay relay = AttemptRelay.of(request, dispatch.attempt(), target, events);
         try {
-            TargetCall call = request.nextCall().fetchingFrom(source(dispatch));
+            TargetCall call = request.nextCall().fetchingFrom(fetchSource(dispatch));
             request.setRunning(targets.start(target, pool, call, relay));
         } catch (RuntimeException fault) {
             LOG.error(fault, "attempt_failed", "error", ErrorType.INTERNAL.number(), "request", request.id());
-            // How far the attempt came is not known, so it must not count as refused.
+            // The request may have been sent, so the attempt must not count as refused.
             relay.onEnd(TargetOutcome.BROKEN_BEFORE_ANSWER, Usage.NONE);
         }
     }
 
-    private @Nullable TargetSettings source(Action.Dispatch dispatch) {
-        TargetId source = dispatch.fetchFrom();
-        return source == null ? null : settings.targets().get(source);
+    private @Nullable TargetSettings fetchSource(Action.Dispatch dispatch) {
+        TargetId fetchSource = dispatch.fetchFrom();
+        return fetchSource == null ? null : settings.targets().get(fetchSource);
     }
 
-    /** Tells the kernel that nothing was sent, so that its slots and counters come out even. */
+    /** Reports to the kernel that nothing was sent, so that it releases the slot and corrects its counters. */
     private void refuse(Action.Dispatch dispatch, String reason) {
         LOG.warn("dispatch_refused", "request", dispatch.requestId(), "target", dispatch.target(), "reason", reason);
         events.offer(new Event.TargetEnded(dispatch.requestId(), TargetOutcome.REFUSED, Usage.NONE));
@@ -141,9 +141,10 @@
             return;
         }
         request.releaseError();
-        // The answer went to the caller as the target's whole answer came in. A caller that has none by now would wait
-        // for ever.
-        if (!request.answered() && request.fail(Failure.unknown(ErrorType.INTERNAL, "no answer"))) {
+        // The caller has received its response by the time the target's response is complete. A caller without one
+        // would otherwise wait forever.
+        if (!request.isCompleted()
+                && request.fail(Failure.unknown(ErrorType.INTERNAL, "request completed without a response"))) {
             LOG.error("completed_without_answer", "error", ErrorType.INTERNAL.number(), "request", requestId);
         }
         request.markDecided();
@@ -174,8 +175,8 @@
         }
     }
 
-    /** The decision on an event failed: its request, if it has one, must not wait for another. */
-    void abandon(Event event) {
+    /** Fails the request of an event whose decision threw, since no further event may end it. */
+    void onDecisionFailed(Event event) {
         if (event instanceof Event.RequestArrived arrived) {
             failInternally(arrived.request().requestId());
         } else if (event instanceof Event.TargetEnded ended) {
@@ -197,8 +198,8 @@
         release(request);
     }
 
-    /** Ends a request whose duty is closing. */
-    void cut(OpenRequest request) {
+    /** Ends a request because the decision loop is closing. */
+    void abort(OpenRequest request) {
         request.failBySending(ErrorType.INSTANCE_LEAVING, "");
         request.cancelRunning();
         requests.remove(request);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/AttemptRelay.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/AttemptRelay.java
@@ -9,18 +9,18 @@
 import org.marjoramswitch.kernel.model.Usage;
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
-/** Passes one attempt's answer to the request's caller and its progress and end to the decisions. */
+/** Passes one attempt's response to the request's caller, and its progress and end to the decision loop. */
 final class AttemptRelay implements AttemptListener {
-    /** Progress is reported after so many tokens ... */
+    /** Progress is reported after this many tokens or after {@link #PROGRESS_NS}, whichever comes first. */
     static final long PROGRESS_TOKENS = 16;
-    /** ... or after so long, whichever comes first. */
+
     static final long PROGRESS_NS = TimeUnit.MILLISECONDS.toNanos(200);
 
     private final OpenRequest request;
     private final int attempt;
     private final TargetSettings target;
     private final EventSink events;
-    private boolean answering;
+    private boolean responding;
     private long reportedTokens;
     private long reportedNs = System.nanoTime();
 
@@ -53,8 +53,8 @@
     @Override
     public void onBytes(byte[] bytes) {
         request.onBytes(attempt, bytes);
-        if (!answering) {
-            answering = true;
+        if (!responding) {
+            responding = true;
             events.offer(new Event.TargetAnswering(request.id()));
         }
     }
@@ -80,11 +80,11 @@
 
     @Override
     public void onEnd(TargetOutcome outcome, Usage usage) {
-        // The end of a void attempt must not pass for the running one's: the kernel would free the wrong slot and
-        // could start the request once more.
-        TargetOutcome heard = request.onAttemptEnd(attempt, outcome);
-        if (heard != null) {
-            events.offer(new Event.TargetEnded(request.id(), heard, usage));
+        // The end of a superseded attempt must not be taken for that of the current one: the kernel would free the
+        // wrong slot and could dispatch the request again.
+        TargetOutcome reported = request.onAttemptEnd(attempt, outcome);
+        if (reported != null) {
+            events.offer(new Event.TargetEnded(request.id(), reported, usage));
         }
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/Decider.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/Decider.java
@@ -5,13 +5,13 @@
 import org.marjoramswitch.kernel.action.Action;
 import org.marjoramswitch.kernel.event.Event;
 
-/** What decides: the kernel, or a script in a test. */
+/** Decides on events: the kernel, or a script in a test. */
 @FunctionalInterface
 public interface Decider {
-    /** The actions that follow from an event, in order; {@code nowMs} never goes back. */
+    /** Returns the actions for an event, in order; {@code nowMs} never decreases. */
     List<Action> apply(Event event, long nowMs);
 
-    /** How long what is decided may go without being told the time, after the last event. */
+    /** Maximum time between two ticks. */
     default long tickMs() {
         return InstanceKernel.BUSY_TICK_MS;
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/DecisionLoop.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/DecisionLoop.java
@@ -28,25 +28,24 @@
 import org.marjoramswitch.kernel.model.Usage;
 
 /**
- * The duty that decides: one thread that owns the kernel, takes events from one bounded ring, tells the kernel the time
- * as often as it wants and has its actions carried out.
+ * Event loop of the kernel: one thread that owns the kernel, takes events from a bounded ring, sends the kernel its
+ * ticks and executes its actions.
  *
- * <p>The kernel is not thread-safe and its decisions depend on nothing but the order and times of its events. One
- * thread gives both: no lock stands around the kernel, and a recording of the events replays to the same decisions.
- * All that waits (sockets, the platform's service) is done by other duties, so that an event's way through this thread
- * takes microseconds.
+ * <p>The kernel is not thread-safe, and its decisions depend only on the order and times of its events. A single thread
+ * ensures that the kernel needs no lock and that a recording of the events replays to the same decisions. Other threads
+ * do all blocking work (sockets, the platform's key-value store), so this thread processes an event in microseconds.
  *
- * <p>What happens when the ring fills up is stated in {@link EventClass}. Room for the events that must get through is
- * there by arithmetic: an open request has at most one end of an attempt, one word of its target and one loss of its
- * caller outstanding, requests are bounded in number, and the ring keeps {@value #RING_PER_REQUEST} places for each of
- * them, half of which no other class may use.
+ * <p>{@link EventClass} defines what happens when the ring fills up. Capacity for events that must not be lost is
+ * guaranteed: an open request has at most one attempt end, one target notice and one caller disconnect outstanding, the
+ * number of open requests is bounded, and the ring has {@value #RING_PER_REQUEST} slots for each of them, half of which
+ * no other class may use.
  *
- * <p>For example, with 2,000 waiting requests allowed, 4,000 may be open and the ring has 32,768 places. A peer that
- * floods the instance fills 16,384 of them before its link is cut. The 4,000 ends, 4,000 words of targets and 4,000 losses
- * of callers that may come in that moment still fit, and so do thousands of changes of links, targets and settings.
+ * <p>For example, if 2,000 requests may wait, 4,000 may be open and the ring has 32,768 slots. A peer that floods the
+ * instance fills 16,384 of them before its link is cut. The 4,000 attempt ends, 4,000 target notices and 4,000 caller
+ * disconnects that may arrive at that moment still fit, and so do thousands of changes of links, targets and settings.
  */
 public final class DecisionLoop implements RequestSubmitter, PeerListener, EventSink, AutoCloseable {
-    /** When a caller that found the instance full should come back. */
+    /** Retry delay for callers that are rejected because the instance is full. */
     private static final long FULL_RETRY_AFTER_MS = 1_000;
 
     private static final int RING_PER_REQUEST = 8;
@@ -84,26 +83,26 @@
     }
 
     /**
-     * Prepares a duty.
+     * Creates a builder for a decision loop.
      *
-     * @param clockMs the kernel's time, monotonic
-     * @param maxWaiting the most requests that may wait at this instance
+     * @param clockMs the kernel's monotonic clock
+     * @param maxWaiting maximum number of requests that may wait at this instance
      */
     public static Builder builder(Decider decider, LongSupplier clockMs, int maxWaiting, MetricRegistry registry) {
         return new Builder(decider, clockMs, maxWaiting, registry);
     }
 
-    /** Completed when the kernel says that the instance holds no request any more. */
+    /** Completed when the kernel reports that the instance has no more requests. */
     public CompletableFuture<Void> drained() {
         return actions.drained();
     }
 
-    /** How long the last event waited for its decision; 0 once none waits any more. */
+    /** Time that the last event waited in the ring; 0 when the ring is empty. */
     public long lagMs() {
         return lagMs;
     }
 
-    /** How many requests of a customer have arrived here and not ended. */
+    /** Number of the customer's requests that have arrived here and not ended. */
     public int openRequests(CustomerId customer) {
         return requests.openOf(customer);
     }
@@ -115,25 +114,25 @@
 
     @Override
     public void submit(RequestSpec request, TargetCall call, ResponseListener listener) {
-        OpenRequest opened = OpenRequest.of(request, call, listener);
+        OpenRequest openRequest = OpenRequest.of(request, call, listener);
         if (closed) {
-            opened.fail(Failure.notRun(ErrorType.INSTANCE_LEAVING, 0, ""));
+            openRequest.fail(Failure.notRun(ErrorType.INSTANCE_LEAVING, 0, ""));
             return;
         }
         Event arrival = new Event.RequestArrived(request);
-        if (!requests.add(opened)) {
+        if (!requests.add(openRequest)) {
             metrics.countRefused(arrival);
-            opened.fail(Failure.notRun(ErrorType.ENTRY_QUEUE_FULL, FULL_RETRY_AFTER_MS, ""));
+            openRequest.fail(Failure.notRun(ErrorType.ENTRY_QUEUE_FULL, FULL_RETRY_AFTER_MS, ""));
             return;
         }
         if (!offer(arrival)) {
-            requests.remove(opened);
-            opened.fail(Failure.notRun(ErrorType.ENTRY_QUEUE_FULL, FULL_RETRY_AFTER_MS, ""));
+            requests.remove(openRequest);
+            openRequest.fail(Failure.notRun(ErrorType.ENTRY_QUEUE_FULL, FULL_RETRY_AFTER_MS, ""));
             return;
         }
-        // The duty may have closed since the first look and not have seen this request among the open ones.
+        // The loop may have been closed since the first check, without seeing this request among the open ones.
         if (closed) {
-            actions.cut(opened);
+            actions.abort(openRequest);
         }
     }
 
@@ -153,16 +152,16 @@
             return;
         }
         if (!offer(received)) {
-            cut(from);
+            cutLink(from);
         }
     }
 
     /**
-     * Gives up a link of which a message was lost. What still comes over it is dropped too: built on a message that
-     * was not heard, it would leave the two ends with different books, slots taken for ever or demand never served. The
-     * new link begins with both ends' whole state.
+     * Cuts a link on which a message was lost. Later messages from the old link are dropped too: they depend on the
+     * lost message and would leave the two instances with different state, such as slots never released or demand never
+     * served. The new link starts with the complete state of both instances.
      */
-    private void cut(InstanceId peer) {
+    private void cutLink(InstanceId peer) {
         cutLinks.add(peer);
         LOG.warn("peer_link_cut", "peer", peer, "error", ErrorType.RING_FULL.number(), "ringDepth", ring.size());
         linkCutter.accept(peer);
@@ -202,7 +201,7 @@
     private void run() {
         while (!closed) {
             boolean idle = !takeBatch();
-            tickWhenDue();
+            tickIfDue();
             if (idle) {
                 ring.await(tickedAtNs + tickNs() - System.nanoTime());
             }
@@ -210,29 +209,29 @@
     }
 
     private boolean takeBatch() {
-        for (int taken = 0; taken < MAX_BATCH; taken++) {
+        for (int count = 0; count < MAX_BATCH; count++) {
             EventRing.TimedEvent next = ring.poll();
             if (next == null) {
                 lagMs = 0;
-                return taken > 0;
+                return count > 0;
             }
-            // After a pause of the process the requests whose time has run out go first; a grant that lay in the ring
-            // all the while could otherwise still start one of them.
-            tickWhenDue();
+            // After a pause of the process, requests past their timeout are ended first; otherwise a grant that waited
+            // in the ring could still start one of them.
+            tickIfDue();
             long waitedNs = System.nanoTime() - next.enteredNs();
             metrics.ringTime().update(waitedNs, TimeUnit.NANOSECONDS);
             lagMs = TimeUnit.NANOSECONDS.toMillis(waitedNs);
-            decide(arrivedBefore(next.event(), lagMs));
-            lag.waited(lagMs, ring.size(), nowMs);
+            decide(withRingDelay(next.event(), lagMs));
+            lag.record(lagMs, ring.size(), nowMs);
         }
         return true;
     }
 
-    private static Event arrivedBefore(Event event, long waitedMs) {
+    private static Event withRingDelay(Event event, long waitedMs) {
         return waitedMs > 0 && event instanceof Event.PeerReceived received ? received.delayed(waitedMs) : event;
     }
 
-    private void tickWhenDue() {
+    private void tickIfDue() {
         if (System.nanoTime() - tickedAtNs >= tickNs()) {
             decide(TICK);
             tickedAtNs = System.nanoTime();
@@ -246,18 +245,18 @@
     private void decide(Event event) {
         metrics.countTaken(event);
         nowMs = Math.max(nowMs, clockMs.getAsLong());
-        try (Timer.Context timed = metrics.decisionTime().time()) {
+        try (Timer.Context timing = metrics.decisionTime().time()) {
             observer.onEvent(event, nowMs);
             List<Action> decided = decider.apply(event, nowMs);
-            actions.carryOut(event, decided);
+            actions.execute(event, decided);
         } catch (RuntimeException fault) {
             metrics.countFault();
             LOG.error(fault, "decision_failed", "error", ErrorType.INTERNAL.number(), "on", event);
-            actions.abandon(event);
+            actions.onDecisionFailed(event);
         }
     }
 
-    /** Ends the thread; every request still open fails towards its caller. */
+    /** Stops the thread and fails every request that is still open. */
     @Override
     public void close() {
         closed = true;
@@ -267,10 +266,10 @@
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
-        requests.all().forEach(actions::cut);
+        requests.all().forEach(actions::abort);
     }
 
-    /** Collects a duty's neighbours. */
+    /** Collects the collaborators of a decision loop. */
     public static final class Builder {
         private final Decider decider;
         private final LongSupplier clockMs;
@@ -283,7 +282,7 @@
         };
         private EventObserver observer = EventObserver.NONE;
         private Consumer<InstanceId> linkCutter = peer -> {};
-        private Consumer<Action.KeepCrashes> crashKeeper = kept -> {};
+        private Consumer<Action.KeepCrashes> crashKeeper = crashes -> {};
 
         private Builder(Decider decider, LongSupplier clockMs, int maxWaiting, MetricRegistry registry) {
             this.decider = decider;
@@ -307,13 +306,13 @@
             return this;
         }
 
-        /** @param cutter breaks the link to a peer; it comes up again by itself */
+        /** @param cutter closes the link to a peer, which reconnects by itself */
         public Builder linkCutter(Consumer<InstanceId> cutter) {
             this.linkCutter = cutter;
             return this;
         }
 
-        /** @param keeper writes what is held against a request where it outlasts the instances; must not block */
+        /** @param keeper stores crash counts of a request where they survive the instances; must not block */
         public Builder crashKeeper(Consumer<Action.KeepCrashes> keeper) {
             this.crashKeeper = keeper;
             return this;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/DecisionMetrics.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/DecisionMetrics.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.marjoramswitch.kernel.event.Event;
 
-/** The figures of the deciding duty. */
+/** Metrics of the decision loop. */
 final class DecisionMetrics {
     private static final String PREFIX = "decision";
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/EventClass.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/EventClass.java
@@ -3,17 +3,17 @@
 import org.marjoramswitch.kernel.event.Event;
 
 /**
- * How an event fares when the ring to the decisions fills up. Each class may use the ring up to its own share, so that
- * what can be done without gives way first and what cannot always finds room.
+ * Defines what happens to an event when the ring of the decision loop fills up. Each class may use the ring up to its
+ * own share, so that dispensable events are dropped first and capacity always remains for indispensable ones.
  */
 enum EventClass {
-    /** Dropped and counted: a later event of the same kind, or the end of the request, says the same and more. */
+    /** Dropped and counted: superseded by a later event of the same kind or by the end of the request. */
     HINT(0.25),
-    /** Refused towards the caller at once, as not run. */
+    /** Rejected immediately; the caller receives a not-run failure. */
     ARRIVAL(0.375),
-    /** The link is cut and counted: both ends then register anew, which makes good whatever was missed. */
+    /** Counted, and the link is cut: both instances then register again, which replaces what was lost. */
     PEER(0.5),
-    /** Never refused: the rest of the ring is larger than all such events that can be outstanding. */
+    /** Never refused: the remaining capacity exceeds the number of such events that can be outstanding. */
     CERTAIN(1);
 
     private final double share;
@@ -22,7 +22,7 @@
         this.share = share;
     }
 
-    /** The number of waiting events at which a ring of this capacity takes no more of this class. */
+    /** Number of events in a ring of this capacity at which events of this class are refused. */
     int limit(int capacity) {
         return (int) (capacity * share);
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/EventObserver.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/EventObserver.java
@@ -2,7 +2,7 @@
 
 import org.marjoramswitch.kernel.event.Event;
 
-/** Sees each event just before it is decided on; called by the deciding thread and never blocks for long. */
+/** Observes each event before its decision. Called on the decision thread; must not block for long. */
 @FunctionalInterface
 public interface EventObserver {
     EventObserver NONE = (event, nowMs) -> {};
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/EventRecorder.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/EventRecorder.java
@@ -16,14 +16,14 @@
 import org.marjoramswitch.kernel.replay.RecordingHeader;
 
 /**
- * Writes the events that are decided on to a file, for replay. The deciding thread only puts them into a bounded ring;
- * a thread of the recorder's own turns them into text and writes it.
+ * Records the events of the decision loop in a file, for replay. The decision thread only adds them to a bounded ring;
+ * the recorder's own thread serializes and writes them.
  *
- * <p>A recording with a gap would replay to decisions that were never taken. So it ends at the first event that finds
- * no room, be it in the ring or in the file's bound, and what was written until then is whole.
+ * <p>A recording with a gap would replay to different decisions. The recording therefore ends at the first event that
+ * exceeds the ring's capacity or the file's maximum size; everything before it is complete.
  */
 public final class EventRecorder implements EventObserver, AutoCloseable {
-    /** The most that a recording takes. */
+    /** Maximum size of a recording. */
     public static final long MAX_BYTES = 256L << 20;
 
     private static final int RING_CAPACITY = 1 << 16;
@@ -46,7 +46,7 @@
         this.thread = new Thread(this::run, "recorder");
     }
 
-    /** Starts a recording in a new file, which takes the place of an older one. */
+    /** Starts a recording; replaces an existing file. */
     public static EventRecorder start(Path file, RecordingHeader header) throws IOException {
         return start(file, header, RING_CAPACITY, MAX_BYTES);
     }
@@ -96,7 +96,7 @@
     }
 
     private boolean writeLine(String line) throws IOException {
-        // The events' text is nearly all ASCII; counting three bytes for the rest keeps within the bound.
+        // Almost all of the text is ASCII; three bytes for any other char is an upper bound in UTF-8.
         long lineBytes = 1 + line.chars().mapToLong(c -> c < 128 ? 1 : 3).sum();
         if (writtenBytes + lineBytes > maxBytes) {
             return false;
@@ -107,7 +107,7 @@
         return true;
     }
 
-    /** Writes what is still in the ring and closes the file. */
+    /** Writes the events that are still in the ring and closes the file. */
     @Override
     public void close() {
         closed = true;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/EventRing.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/EventRing.java
@@ -5,7 +5,7 @@
 import org.jspecify.annotations.Nullable;
 import org.marjoramswitch.kernel.event.Event;
 
-/** The bounded ring from all duties to the one that decides; many producers, one consumer that parks while it waits. */
+/** Bounded queue of events for the decision loop: many producers, one consumer that parks while the queue is empty. */
 final class EventRing {
     private final MpscArrayQueue<TimedEvent> queue;
     private volatile @Nullable Thread parked;
@@ -19,7 +19,7 @@
         return new EventRing(capacity);
     }
 
-    /** Takes the event unless its class has used up its share; never blocks. */
+    /** Adds the event unless its class has used up its share; never blocks. */
     boolean offer(EventClass eventClass, Event event) {
         if (!queue.offerIfBelowThreshold(TimedEvent.now(event), eventClass.limit(queue.capacity()))) {
             return false;
@@ -37,11 +37,11 @@
         return queue.size();
     }
 
-    /** Waits until there is an event, {@link #wake} is called or the time has passed. Only the consumer calls this. */
+    /** Waits for an event, a call of {@link #wake} or the timeout. Only the consumer may call this. */
     void await(long timeoutNs) {
         parked = Thread.currentThread();
-        // Looks again after having said that it parks: a producer that came between would otherwise wake nobody, and
-        // its event would lie until the next tick.
+        // Checks the queue again after setting parked: an event added in between would not have woken this thread and
+        // would wait until the next tick.
         if (queue.isEmpty()) {
             LockSupport.parkNanos(this, timeoutNs);
         }
@@ -55,7 +55,7 @@
         }
     }
 
-    /** An event and when it entered the ring, by {@link System#nanoTime}. */
+    /** An event and the {@link System#nanoTime} at which it entered the ring. */
     record TimedEvent(Event event, long enteredNs) {
         static TimedEvent now(Event event) {
             return new TimedEvent(event, System.nanoTime());
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/EventSink.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/EventSink.java
@@ -2,9 +2,9 @@
 
 import org.marjoramswitch.kernel.event.Event;
 
-/** Where duties hand over events to be decided on. */
+/** Accepts events for the decision loop. */
 @FunctionalInterface
 public interface EventSink {
-    /** Never blocks; false where the event was refused, which is counted. */
+    /** Never blocks; returns false, and counts it, if the event was refused. */
     boolean offer(Event event);
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/KernelDriver.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/KernelDriver.java
@@ -5,7 +5,7 @@
 import org.marjoramswitch.kernel.action.Action;
 import org.marjoramswitch.kernel.event.Event;
 
-/** The kernel as the deciding duty drives it; shows its status to other threads every now and then. */
+/** Runs the kernel in the decision loop and publishes its status to other threads at most every 50 ms. */
 public final class KernelDriver implements Decider {
     private static final long STATUS_INTERVAL_MS = 50;
 
@@ -36,7 +36,7 @@
         return kernel.tickMs();
     }
 
-    /** Safe for any thread. */
+    /** Thread-safe. */
     public KernelStatus status() {
         return status;
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/KernelStatus.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/KernelStatus.java
@@ -6,10 +6,10 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * What other duties may know of the kernel, some milliseconds old.
+ * Snapshot of the kernel's state for other threads; may be some milliseconds old.
  *
- * @param arbitratedCells the cells that this instance grants
- * @param arbitratedTargets the targets whose load this instance has to know
+ * @param arbitratedCells cells of which this instance is the arbiter
+ * @param arbitratedTargets targets whose load this instance must poll
  */
 public record KernelStatus(
         long generation,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/OpenRequest.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/OpenRequest.java
@@ -15,19 +15,19 @@
 import org.marjoramswitch.kernel.model.TargetOutcome;
 
 /**
- * One request from its arrival to its end, and the gate between its attempts at targets and its caller.
+ * Tracks one request from arrival to end and passes the responses of its attempts to its caller.
  *
- * <p>Answers come from the target client's threads and failures from the deciding thread; the lock of this object
- * makes them one sequence, in which the caller hears one head, its bytes and exactly one end. Only the newest attempt
- * gets through: an answer of an older one that comes late or crosses the new one's is dropped here, whatever state its
- * connection is in.
+ * <p>Responses arrive on the target client's threads and failures on the decision thread; the lock of this object
+ * serializes them, so that the caller receives at most one head, its bytes and exactly one end. Only the newest attempt
+ * reaches the caller: a response of an older one that arrives late or interleaved with the new one's is dropped here,
+ * whatever the state of its connection.
  *
- * <p>A head is held back until the first byte or the whole answer is there. Until then the caller has seen nothing, so
- * that another attempt may still answer it. For the same reason an answer that reports a failure of the target is held
- * back whole where the request may be repeated.
+ * <p>A head is held back until the first byte or the end of the response. Until then the caller has received nothing,
+ * so another attempt can still provide the response. For the same reason, if the request is repeatable, a response that
+ * reports a server error is held back completely.
  *
- * <p>An answer that may be resumed goes on with the next attempt from the last whole event that the caller got. The
- * caller sees one answer, with the head of the first.
+ * <p>A resumable response continues with the next attempt after the last complete event that the caller received. The
+ * caller receives one response, with the head of the first attempt.
  */
 final class OpenRequest {
     private static final String LAST_EVENT_ID = "last-event-id";
@@ -38,25 +38,25 @@
     private final ResponseListener caller;
     private final AtomicBoolean callerGone = new AtomicBoolean();
 
-    // Only the deciding thread uses these three.
-    private @Nullable Attempt running;
+    // Confined to the decision thread.
+    private @Nullable Attempt runningAttempt;
     private boolean decided;
     private boolean endOutstanding;
 
     private int attempt;
     private boolean attemptRunning;
-    private boolean answering;
-    private boolean answered;
-    private boolean over;
+    private boolean headDelivered;
+    private boolean completed;
+    private boolean ended;
     private @Nullable Head heldHead;
-    /** The body of an answer that reports a failure, kept until it is clear that no other attempt will do better. */
+    /** Body of a server error response, held back until no further attempt will follow. */
     private final List<byte[]> heldError = new ArrayList<>();
 
-    private int answeredStatus;
-    /** The running attempt's answer is no continuation of the one that the caller is reading. */
-    private boolean strange;
+    private int deliveredStatus;
+    /** Whether the current attempt's status differs from that already sent to the caller, so it cannot continue it. */
+    private boolean mismatched;
 
-    private String position = "";
+    private String deliveredEventId = "";
 
     private OpenRequest(RequestSpec spec, TargetCall call, ResponseListener caller) {
         this.spec = spec;
@@ -76,47 +76,50 @@
         return spec;
     }
 
-    /** True the first time only. */
+    /** Returns true only on the first call. */
     boolean markCallerGone() {
         return callerGone.compareAndSet(false, true);
     }
 
-    /** Makes {@code number} the only attempt that is listened to; false where the caller has its end already. */
-    synchronized boolean beginAttempt(int number) {
-        if (over || (answering && !isResumable())) {
+    /**
+     * Makes {@code number} the current attempt. Returns false if the request has ended, or if the caller has received a
+     * part of a response that is not resumable.
+     */
+    synchronized boolean beginAttempt(int attemptNumber) {
+        if (ended || (headDelivered && !isResumable())) {
             return false;
         }
-        attempt = number;
+        attempt = attemptNumber;
         attemptRunning = true;
         heldHead = null;
         heldError.clear();
-        strange = false;
+        mismatched = false;
         caller.onSent();
         return true;
     }
 
     void setRunning(Attempt started) {
-        running = started;
+        runningAttempt = started;
     }
 
-    /** The kernel has ended the request. */
+    /** Records that the kernel has ended the request. */
     void markDecided() {
         decided = true;
     }
 
-    /** The end of an attempt is due, or no longer, in the ring of events. */
+    /** Sets whether the end of an attempt is still to come through the event ring. */
     void setEndOutstanding(boolean outstanding) {
         endOutstanding = outstanding;
     }
 
-    /** True once nothing more is to come, neither from the kernel nor from an attempt. */
+    /** Whether neither the kernel nor an attempt will report anything more. */
     boolean isDone() {
         return decided && !endOutstanding;
     }
 
     void cancelRunning() {
-        if (running != null) {
-            running.cancel();
+        if (runningAttempt != null) {
+            runningAttempt.cancel();
         }
     }
 
@@ -124,27 +127,27 @@
         return attempt > 0;
     }
 
-    synchronized void onHead(int number, int status, Map<String, String> headers) {
-        if (!isCurrent(number)) {
+    synchronized void onHead(int attemptNumber, int status, Map<String, String> headers) {
+        if (!isCurrent(attemptNumber)) {
             return;
         }
-        strange = answering && status != answeredStatus;
-        if (!answering) {
+        mismatched = headDelivered && status != deliveredStatus;
+        if (!headDelivered) {
             heldHead = new Head(status, headers);
         }
     }
 
-    synchronized void onPosition(int number, String lastEventId) {
-        if (isCurrent(number) && !strange && !lastEventId.isEmpty()) {
-            position = lastEventId;
+    synchronized void onPosition(int attemptNumber, String lastEventId) {
+        if (isCurrent(attemptNumber) && !mismatched && !lastEventId.isEmpty()) {
+            deliveredEventId = lastEventId;
         }
     }
 
-    synchronized void onBytes(int number, byte[] bytes) {
-        if (!isCurrent(number) || strange) {
+    synchronized void onBytes(int attemptNumber, byte[] bytes) {
+        if (!isCurrent(attemptNumber) || mismatched) {
             return;
         }
-        if (holdsError()) {
+        if (holdsBackError()) {
             heldError.add(bytes);
             return;
         }
@@ -153,31 +156,31 @@
     }
 
     /**
-     * Ends the attempt and, where it brought a whole answer, the caller's wait.
+     * Ends the attempt and, if its response is complete, the caller's response.
      *
-     * @return the outcome as the decisions are to hear it, null for an attempt that is void
+     * @return the outcome to report to the kernel; null for a superseded attempt
      */
-    synchronized @Nullable TargetOutcome onAttemptEnd(int number, TargetOutcome outcome) {
-        if (number != attempt || !attemptRunning) {
+    synchronized @Nullable TargetOutcome onAttemptEnd(int attemptNumber, TargetOutcome outcome) {
+        if (attemptNumber != attempt || !attemptRunning) {
             return null;
         }
         attemptRunning = false;
         if (outcome != TargetOutcome.COMPLETED) {
             return outcome;
         }
-        if (strange) {
+        if (mismatched) {
             return TargetOutcome.BROKEN_IN_ANSWER;
         }
-        if (holdsError()) {
+        if (holdsBackError()) {
             return TargetOutcome.SERVER_ERROR;
         }
         deliverEnd();
         return outcome;
     }
 
-    /** No other attempt will follow: an answer that reports a failure and was held back goes to the caller. */
+    /** Delivers a server error response that was held back; called when no further attempt will follow. */
     synchronized void releaseError() {
-        if (over || !holdsError()) {
+        if (ended || !holdsBackError()) {
             return;
         }
         releaseHead();
@@ -186,24 +189,24 @@
         deliverEnd();
     }
 
-    /** The call of the next attempt: the whole of it, or the rest after what the caller has read. */
+    /** The call of the next attempt; requests the events after the last one that the caller received, if any. */
     synchronized TargetCall nextCall() {
-        return position.isEmpty() ? call : call.withHeader(LAST_EVENT_ID, position);
+        return deliveredEventId.isEmpty() ? call : call.withHeader(LAST_EVENT_ID, deliveredEventId);
     }
 
     private void deliverEnd() {
-        if (over) {
+        if (ended) {
             return;
         }
         releaseHead();
-        over = true;
-        answered = true;
+        ended = true;
+        completed = true;
         caller.onComplete();
     }
 
-    private boolean holdsError() {
+    private boolean holdsBackError() {
         Head head = heldHead;
-        return !answering
+        return !headDelivered
                 && head != null
                 && head.status() >= FIRST_SERVER_ERROR
                 && spec.placement() != null
@@ -215,42 +218,42 @@
         return placement != null && placement.resumable();
     }
 
-    /** The failure reaches the caller unless an end already has. */
+    /** Delivers the failure to the caller; returns false if the caller already has an end. */
     synchronized boolean fail(Failure failure) {
-        if (over) {
+        if (ended) {
             return false;
         }
-        over = true;
+        ended = true;
         caller.onFailure(failure);
         return true;
     }
 
-    /** Fails the request as not run where it was never sent, and otherwise as unknown. */
+    /** Fails the request as not run if it was never sent, otherwise as unknown. */
     synchronized boolean failBySending(ErrorType type, String detail) {
         return fail(attempt > 0 ? Failure.unknown(type, detail) : Failure.notRun(type, 0, detail));
     }
 
-    /** True once the caller has the target's whole answer. */
-    synchronized boolean answered() {
-        return answered;
+    /** Whether the caller has received a complete response. */
+    synchronized boolean isCompleted() {
+        return completed;
     }
 
-    private boolean isCurrent(int number) {
-        return number == attempt && attemptRunning && !over;
+    private boolean isCurrent(int attemptNumber) {
+        return attemptNumber == attempt && attemptRunning && !ended;
     }
 
     private void releaseHead() {
-        if (answering) {
+        if (headDelivered) {
             return;
         }
-        answering = true;
+        headDelivered = true;
         Head head = heldHead;
         if (head != null) {
-            answeredStatus = head.status();
+            deliveredStatus = head.status();
             caller.onHead(head.status(), head.headers());
         }
     }
 
-    /** A head that has not gone to the caller yet. */
+    /** A response head that has not been delivered yet. */
     private record Head(int status, Map<String, String> headers) {}
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/OpenRequests.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/OpenRequests.java
@@ -9,9 +9,9 @@
 import org.jspecify.annotations.Nullable;
 import org.marjoramswitch.kernel.model.CustomerId;
 
-/** The requests that have arrived and not ended, within the instance's bounds. */
+/** Thread-safe registry of the requests that have arrived and not ended; bounds their number. */
 final class OpenRequests {
-    /** Requests open in all, waiting and sent, for each one that may wait. */
+    /** Maximum number of open requests, waiting or sent, per request that may wait. */
     private static final int OPEN_PER_WAITING = 2;
 
     private final int maxWaiting;
@@ -37,12 +37,12 @@
         return OPEN_PER_WAITING * maxWaiting;
     }
 
-    /** False where a bound is reached. */
+    /** Returns false if the maximum of waiting or of open requests is reached. */
     boolean add(OpenRequest request) {
-        if (!takeOne(waiting, maxWaiting)) {
+        if (!tryAcquire(waiting, maxWaiting)) {
             return false;
         }
-        if (!takeOne(open, maxOpen(maxWaiting))) {
+        if (!tryAcquire(open, maxOpen(maxWaiting))) {
             waiting.decrementAndGet();
             return false;
         }
@@ -56,7 +56,7 @@
         return byId.get(requestId);
     }
 
-    /** The request waits no longer, as it is sent for the first time. */
+    /** Counts a request as no longer waiting; called when it is first sent. */
     void stopWaiting() {
         waiting.decrementAndGet();
     }
@@ -88,7 +88,7 @@
         return waiting.get();
     }
 
-    private static boolean takeOne(AtomicInteger used, int limit) {
+    private static boolean tryAcquire(AtomicInteger used, int limit) {
         if (used.incrementAndGet() <= limit) {
             return true;
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/package-info.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/package-info.java
@@ -1,4 +1,4 @@
-/** The duty that drives the kernel: its ring of events, the open requests and the carrying out of its actions. */
+/** Event loop of the kernel: its event ring, the open requests and the execution of its actions. */
 @NullMarked
 package org.marjoramswitch.daemon.core;
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/HttpAttempt.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/HttpAttempt.java
@@ -195,7 +195,7 @@
         ResponseReader opened = ResponseReader.of(exchange, spec, connector, delivery);
         reader = opened;
         if (opened.isCrossed()) {
-            connector.metrics().answersCrossed.inc();
+            connector.metrics().responsesCrossed.inc();
             log.crossed(opened);
             connectionFailed();
             return;
@@ -284,7 +284,7 @@
         resumeCount++;
         chunksAtResume = delivery.deliveredChunks();
         sending = spec.resumeFrom(chunksAtResume);
-        connector.metrics().answersResumed.inc();
+        connector.metrics().responsesResumed.inc();
         log.resumed(chunksAtResume, outcomeIfNotResumable);
         pooled = false;
         deadline.start();
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetMetrics.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetMetrics.java
@@ -19,10 +19,10 @@
     /** Pooled connections found closed before anything was sent, so that a new one was opened. */
     final Counter connectionsFoundDead;
     /** Responses that carried another request's id, or none where one is required. */
-    final Counter answersCrossed;
+    final Counter responsesCrossed;
 
     /** Responses resumed over another connection. */
-    final Counter answersResumed;
+    final Counter responsesResumed;
     /** Cache events that were missed, by their sequence numbers, or malformed. */
     final Counter cacheEventGaps;
     /** Resets of a target's cache event sequence, as after a restart. */
@@ -37,8 +37,8 @@
         connectionsDiscarded = registry.counter("targets.connections.discarded");
         connectionsExpired = registry.counter("targets.connections.expired");
         connectionsFoundDead = registry.counter("targets.connections.found_dead");
-        answersCrossed = registry.counter("targets.answers.crossed");
-        answersResumed = registry.counter("targets.answers.resumed");
+        responsesCrossed = registry.counter("targets.answers.crossed");
+        responsesResumed = registry.counter("targets.answers.resumed");
         cacheEventGaps = registry.counter("targets.cache_events.gaps");
         cacheEventRestarts = registry.counter("targets.cache_events.restarts");
         for (Purpose purpose : Purpose.values()) {
--- a/daemon/src/test/java/org/marjoramswitch/daemon/core/DecisionLoopTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/core/DecisionLoopTest.java
@@ -44,17 +44,17 @@
 
     private final MetricRegistry metrics = new MetricRegistry();
     private final Attempts attempts = new Attempts();
-    private final Heard caller = new Heard();
-    private DecisionLoop duty;
+    private final RecordingListener caller = new RecordingListener();
+    private DecisionLoop loop;
 
     @AfterEach
     void close() {
-        duty.close();
+        loop.close();
     }
 
     @Test
-    void anAnswerGoesFromTargetToCallerOnce() throws Exception {
-        start(this::dispatchAndFollow, 10);
+    void responseIsDeliveredToCallerOnce() throws Exception {
+        start(this::dispatchAndRetry, 10);
         submit(1);
         Attempts.Started attempt = attempts.next();
         attempt.listener().onHead(200, Map.of("content-type", "text/event-stream"));
@@ -67,13 +67,13 @@
     }
 
     /**
-     * The caller sees one answer, the second target's. The first target sends a head, then its connection breaks; the
-     * kernel starts a second attempt, and only then do bytes of the first arrive, late. They are dropped because the
-     * caller would otherwise read two answers woven into one.
+     * Guards against interleaving the responses of two attempts. The first target sends a head, then its connection
+     * breaks; the kernel starts a second attempt, and only then do bytes of the first arrive. These are dropped; the
+     * caller receives only the second response.
      */
     @Test
-    void lateBytesOfAnOlderAttemptAreDropped() throws Exception {
-        start(this::dispatchAndFollow, 10);
+    void lateBytesOfSupersededAttemptAreDropped() throws Exception {
+        start(this::dispatchAndRetry, 10);
         submit(1);
         Attempts.Started first = attempts.next();
         first.listener().onHead(503, Map.of());
@@ -89,12 +89,12 @@
     }
 
     /**
-     * The caller sees a head, bytes and then a failure, never a complete answer. The target breaks off after its first
-     * byte; the kernel answers with a failure, as another attempt could only garble what the caller has.
+     * Guards against presenting a truncated response as complete. The target's connection breaks after the first byte;
+     * the kernel fails the request, since another attempt would corrupt what the caller has already received.
      */
     @Test
-    void anAnswerThatBreaksOffEndsAsAFailure() throws Exception {
-        start(this::dispatchAndFollow, 10);
+    void truncatedResponseEndsWithFailure() throws Exception {
+        start(this::dispatchAndRetry, 10);
         submit(1);
         Attempts.Started attempt = attempts.next();
         attempt.listener().onHead(200, Map.of());
@@ -105,11 +105,11 @@
     }
 
     /**
-     * The caller is refused at once, as not run and with the time to come back. The kernel grants nothing, so the
-     * instance holds all the requests that may wait; one more would grow its memory without bound.
+     * Guards against unbounded memory use. The kernel grants nothing, so the instance holds the maximum of waiting
+     * requests; the next one is rejected immediately as not run, with a retry delay.
      */
     @Test
-    void anInstanceThatIsFullRefusesAtOnce() throws Exception {
+    void fullInstanceRejectsImmediately() throws Exception {
         start((event, nowMs) -> List.of(), 2);
         submit(1);
         submit(2);
@@ -119,60 +119,63 @@
     }
 
     /**
-     * The caller sees its answer end although a peer floods the instance. The deciding thread stands still, the peer's
-     * messages fill their share of the ring and its link is cut; the end of the attempt finds its own room.
+     * Guards against losing the end of an attempt while a peer floods the instance. The decision thread is blocked, the
+     * peer's messages fill their share of the ring and its link is cut; the end of the attempt uses reserved capacity,
+     * and the caller's response ends.
      */
     @Test
-    void aPeerThatFillsTheRingLosesItsLinkAndNoEnd() throws Exception {
-        CountDownLatch stopped = new CountDownLatch(1);
+    void peerFloodCutsItsLinkWithoutLosingAttemptEnd() throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch resume = new CountDownLatch(1);
-        AtomicInteger cuts = new AtomicInteger();
-        Decider slow = (event, nowMs) -> {
-            if (event instanceof Event.PeerReceived && stopped.getCount() > 0) {
-                stopped.countDown();
+        AtomicInteger linkCuts = new AtomicInteger();
+        Decider blocking = (event, nowMs) -> {
+            if (event instanceof Event.PeerReceived && blocked.getCount() > 0) {
+                blocked.countDown();
                 awaitUninterrupted(resume);
             }
-            return dispatchAndFollow(event, nowMs);
+            return dispatchAndRetry(event, nowMs);
         };
-        duty = builder(slow, 2).linkCutter(peer -> cuts.incrementAndGet()).start();
-        duty.offer(new Event.SettingsAccepted(settings()));
+        loop = builder(blocking, 2)
+                .linkCutter(peer -> linkCuts.incrementAndGet())
+                .start();
+        loop.offer(new Event.SettingsAccepted(settings()));
         submit(1);
         Attempts.Started attempt = attempts.next();
-        duty.onMessage(PEER, 1, new PeerMessage.Heartbeat());
-        assertTrue(stopped.await(10, TimeUnit.SECONDS));
+        loop.onMessage(PEER, 1, new PeerMessage.Heartbeat());
+        assertTrue(blocked.await(10, TimeUnit.SECONDS));
         for (int i = 0; i < 1_000; i++) {
-            duty.onMessage(PEER, 1, new PeerMessage.Heartbeat());
+            loop.onMessage(PEER, 1, new PeerMessage.Heartbeat());
         }
         attempt.listener().onHead(204, Map.of());
         attempt.listener().onEnd(TargetOutcome.COMPLETED, Usage.NONE);
         resume.countDown();
         assertEquals(List.of("head 204", "complete"), caller.take(2));
         awaitOpen(0);
-        assertEquals(1, cuts.get());
+        assertEquals(1, linkCuts.get());
         assertTrue(metrics.counter("decision.refused.peer_received").getCount() > 900);
     }
 
     /**
-     * The callers see a refusal that says "not run" for the request that was waiting and "unknown" for the one that was
-     * sent. The duty is closed under both, as at the deadline of a graceful shutdown.
+     * Guards against a wrong run state when the loop is closed with open requests, as at the deadline of a graceful
+     * shutdown: the waiting request fails as "not run", the one that was sent as "unknown".
      */
     @Test
-    void closingEndsEveryOpenRequestTruthfully() throws Exception {
-        start((event, nowMs) -> isArrival(event, 1) ? dispatchAndFollow(event, nowMs) : List.of(), 10);
-        Heard waiting = new Heard();
+    void closeFailsOpenRequestsWithCorrectRunState() throws Exception {
+        start((event, nowMs) -> isArrival(event, 1) ? dispatchAndRetry(event, nowMs) : List.of(), 10);
+        RecordingListener waiting = new RecordingListener();
         submit(1);
         Attempts.Started attempt = attempts.next();
-        duty.submit(request(2), CALL, waiting);
-        duty.close();
+        loop.submit(request(2), CALL, waiting);
+        loop.close();
         assertEquals(List.of("failure INSTANCE_LEAVING UNKNOWN"), caller.take(1));
         assertEquals(List.of("failure INSTANCE_LEAVING NOT_RUN"), waiting.take(1));
         attempt.listener().onBytes(new byte[1]);
         assertTrue(caller.isEmpty());
     }
 
-    /** The caller sees an internal failure, not silence; the decision on its arrival threw. */
+    /** Guards against a caller that never gets a response because the decision on its request's arrival threw. */
     @Test
-    void aDecisionThatThrowsFailsItsRequest() throws Exception {
+    void failedDecisionFailsItsRequest() throws Exception {
         start(
                 (event, nowMs) -> {
                     if (event instanceof Event.RequestArrived) {
@@ -194,7 +197,7 @@
                     if (event instanceof Event.TargetProgress) {
                         reports.incrementAndGet();
                     }
-                    return dispatchAndFollow(event, nowMs);
+                    return dispatchAndRetry(event, nowMs);
                 },
                 10);
         submit(1);
@@ -208,8 +211,8 @@
     }
 
     private void start(Decider decider, int maxWaiting) {
-        duty = builder(decider, maxWaiting).start();
-        duty.offer(new Event.SettingsAccepted(settings()));
+        loop = builder(decider, maxWaiting).start();
+        loop.offer(new Event.SettingsAccepted(settings()));
     }
 
     private DecisionLoop.Builder builder(Decider decider, int maxWaiting) {
@@ -218,8 +221,8 @@
                 .targets(attempts);
     }
 
-    /** Dispatches each arrival at once, tries again while the caller has seen nothing and reports every end. */
-    private List<Action> dispatchAndFollow(Event event, long nowMs) {
+    /** Dispatches each arrival, retries once if the first attempt fails before the response, and reports every end. */
+    private List<Action> dispatchAndRetry(Event event, long nowMs) {
         if (event instanceof Event.RequestArrived arrived) {
             return List.of(new Action.Dispatch(arrived.request().requestId(), TARGET, 1, null));
         }
@@ -239,7 +242,7 @@
     }
 
     private void submit(long requestId) {
-        duty.submit(request(requestId), CALL, caller);
+        loop.submit(request(requestId), CALL, caller);
     }
 
     private static RequestSpec request(long requestId) {
@@ -252,10 +255,10 @@
     }
 
     private void awaitOpen(int count) throws InterruptedException {
-        long giveUpNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         while (!Integer.valueOf(count)
                 .equals(metrics.getGauges().get("requests.open").getValue())) {
-            assertTrue(System.nanoTime() < giveUpNs, "requests stay open");
+            assertTrue(System.nanoTime() < deadlineNs, "requests stay open");
             Thread.sleep(1);
         }
     }
@@ -268,7 +271,7 @@
         }
     }
 
-    /** Keeps the attempts that were started. */
+    /** Records the started attempts. */
     private static final class Attempts implements TargetClient {
         private final BlockingQueue<Started> started = new LinkedBlockingQueue<>();
 
@@ -287,41 +290,41 @@
         record Started(TargetClient.AttemptListener listener) {}
     }
 
-    /** Keeps what a caller hears. */
-    private static final class Heard implements ResponseListener {
-        private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    /** Records the calls that a caller's listener receives. */
+    private static final class RecordingListener implements ResponseListener {
+        private final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
 
         @Override
         public void onHead(int status, Map<String, String> headers) {
-            heard.add("head " + status);
+            calls.add("head " + status);
         }
 
         @Override
         public void onBytes(byte[] bytes) {
-            heard.add("bytes " + bytes.length);
+            calls.add("bytes " + bytes.length);
         }
 
         @Override
         public void onComplete() {
-            heard.add("complete");
+            calls.add("complete");
         }
 
         @Override
         public void onFailure(Failure failure) {
             assertTrue(failure.run() == RunState.UNKNOWN || failure.type() != ErrorType.TARGET_BROKE);
-            heard.add("failure " + failure.type() + " " + failure.run());
+            calls.add("failure " + failure.type() + " " + failure.run());
         }
 
         List<String> take(int count) throws InterruptedException {
             List<String> taken = new java.util.ArrayList<>();
             for (int i = 0; i < count; i++) {
-                taken.add(heard.poll(10, TimeUnit.SECONDS));
+                taken.add(calls.poll(10, TimeUnit.SECONDS));
             }
             return taken;
         }
 
         boolean isEmpty() {
-            return heard.isEmpty();
+            return calls.isEmpty();
         }
     }
 }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/core/EventRecorderTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/core/EventRecorderTest.java
@@ -25,7 +25,7 @@
     Path directory;
 
     @Test
-    void whatWasDecidedOnReadsBack() throws Exception {
+    void recordedEventsAreReadBack() throws Exception {
         Path file = directory.resolve("events.jsonl");
         try (EventRecorder recorder = EventRecorder.start(file, HEADER)) {
             recorder.onEvent(new Event.CallerGone(1), 10);
@@ -38,11 +38,11 @@
     }
 
     /**
-     * The reader of a recording sees whole lines without a gap. More events come than the file may hold; the recording
-     * ends before the first that does not fit, as later ones would replay to decisions that nobody took.
+     * Guards against a recording with a gap, which would replay to different decisions. More events arrive than the
+     * file may hold; the recording ends before the first event that does not fit.
      */
     @Test
-    void aRecordingThatReachesItsBoundEndsWithoutAGap() throws Exception {
+    void recordingThatReachesMaximumSizeHasNoGap() throws Exception {
         Path file = directory.resolve("events.jsonl");
         try (EventRecorder recorder = EventRecorder.start(file, HEADER, 1024, 4_000)) {
             for (int i = 0; i < 500; i++) {
