--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/Decider.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/Decider.java
@@ -11,7 +11,7 @@
     /** Returns the actions for an event, in order; {@code nowMs} never decreases. */
     List<Action> apply(Event event, long nowMs);
 
-    /** Maximum time between two ticks. */
+    /** Maximum time between two ticks, for the state after the last event. */
     default long tickMs() {
         return InstanceKernel.BUSY_TICK_MS;
     }
