--- a/daemon/src/test/java/org/marjoramswitch/daemon/platform/ClaimStoreTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/platform/ClaimStoreTest.java
@@ -28,8 +28,11 @@
     private static final long WAIT_MS = 600;
     private static final ClaimOptions OPTIONS = new ClaimOptions(600_000, WAIT_MS, 500, 50, 2, 128, 1_024);
 
-    /** For what is not about waiting: beside busy processes the stand-in of the service took longer than WAIT_MS to answer. */
-    private static final ClaimOptions PATIENT = new ClaimOptions(600_000, 15_000, 500, 50, 2, 128, 1_024);
+    /**
+     * For tests that don't depend on the wait time: on a busy machine the fake store took longer than WAIT_MS to
+     * respond.
+     */
+    private static final ClaimOptions LONG_WAIT_OPTIONS = new ClaimOptions(600_000, 15_000, 500, 50, 2, 128, 1_024);
 
     private final List<ClaimStore> started = new ArrayList<>();
     private PlatformFixture platform;
@@ -50,21 +53,21 @@
     }
 
     @Test
-    void aKeyIsClaimedOnceAndItsHolderNamed() throws Exception {
-        claims = claims("a", PATIENT);
+    void keyIsClaimedOnceAndItsHolderIsReported() throws Exception {
+        claims = claims("a", LONG_WAIT_OPTIONS);
         ClaimResult.Claimed first = claimed(claims.claim(CUSTOMER, Sha256.hex("stop-7"), "a-1-1"));
         assertEquals("a-1-1", first.value().requestKey());
-        ClaimResult.HeldBy again = held(claims("b", PATIENT).claim(CUSTOMER, Sha256.hex("stop-7"), "b-1-9"));
+        ClaimResult.HeldBy again = held(claims("b", LONG_WAIT_OPTIONS).claim(CUSTOMER, Sha256.hex("stop-7"), "b-1-9"));
         assertEquals(first.value(), again.holder().orElseThrow());
         claimed(claims.claim(CustomerId.of("quay"), Sha256.hex("stop-7"), "a-1-2"));
     }
 
     @Test
-    void twoEntriesRacingOnOneKeyGiveItToOneOfThem() throws Exception {
-        claims = claims("a", PATIENT);
-        // A caller in doubt sends one request to two entries at the same moment, for many keys. For each key exactly
-        // one of them may run it, and the other one learns which.
-        ClaimStore other = claims("b", PATIENT);
+    void oneOfTwoConcurrentClaimsOnAKeySucceeds() throws Exception {
+        claims = claims("a", LONG_WAIT_OPTIONS);
+        // A caller sends the same request to two entry instances concurrently, for many keys. For each key exactly one
+        // instance may run the request, and the other one receives the holder.
+        ClaimStore other = claims("b", LONG_WAIT_OPTIONS);
         List<CompletableFuture<ClaimResult>> here = new ArrayList<>();
         List<CompletableFuture<ClaimResult>> there = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
@@ -84,17 +87,17 @@
     }
 
     @Test
-    void claimsThatWaitTogetherAreWrittenTogether() throws Exception {
-        // 500 callers arrive while the service cannot be reached. The first few are in the group that is under way;
-        // once the service is back, all others share four transactions of at most 128. A key that is held by another
-        // entry spoils it for none of the others.
-        ClaimStore patient = claims("c", PATIENT);
+    void waitingClaimsAreWrittenInGroups() throws Exception {
+        // 500 callers arrive while the store is unreachable. The first few are in the group being written; once the
+        // store is back, all others share four transactions of at most 128. A key that another entry instance holds
+        // does not affect the other keys.
+        ClaimStore longWaiting = claims("c", LONG_WAIT_OPTIONS);
         claimed(claims.claim(CUSTOMER, Sha256.hex("k-250"), "a-1"));
         long writesBefore = platform.gateway.calls(CallKind.TXN);
         platform.gateway.refuseConnections();
         List<CompletableFuture<ClaimResult>> results = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
-            results.add(patient.claim(CUSTOMER, Sha256.hex("k-" + i), "c-" + i));
+            results.add(longWaiting.claim(CUSTOMER, Sha256.hex("k-" + i), "c-" + i));
         }
         platform.gateway.recover();
         for (int i = 0; i < 500; i++) {
@@ -106,17 +109,17 @@
     }
 
     @Test
-    void aKeyRepeatedManyTimesHindersNoOther() throws Exception {
-        // One caller repeats one key hundreds of times while the service cannot be reached. Then only one of these
-        // requests gets the key, the others are told who has it, and another customer's key that came last is claimed
-        // with the group that was under way or in the one after it.
-        ClaimStore patient = claims("c", PATIENT);
+    void repeatedKeyDoesNotDelayOtherKeys() throws Exception {
+        // One caller repeats one key hundreds of times while the store is unreachable. Only one of these requests gets
+        // the key and the others receive its holder. Another customer's key that arrived last is claimed with the group
+        // being written or the next one.
+        ClaimStore longWaiting = claims("c", LONG_WAIT_OPTIONS);
         platform.gateway.refuseConnections();
         List<CompletableFuture<ClaimResult>> repeats = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
-            repeats.add(patient.claim(CUSTOMER, Sha256.hex("again"), "c-" + i));
+            repeats.add(longWaiting.claim(CUSTOMER, Sha256.hex("again"), "c-" + i));
         }
-        CompletableFuture<ClaimResult> last = patient.claim(CustomerId.of("quay"), Sha256.hex("other"), "c-400");
+        CompletableFuture<ClaimResult> last = longWaiting.claim(CustomerId.of("quay"), Sha256.hex("other"), "c-400");
         platform.gateway.recover();
         claimed(last);
         int owners = 0;
@@ -128,9 +131,9 @@
     }
 
     @Test
-    void aLostAnswerIsSettledByTheClaimsOwnEntry() throws Exception {
-        // The service creates the entry and the connection is cut. The entry does not know whether it may run the
-        // request; it writes the claim again, finds its own id there, and runs the request this once.
+    void lostResponseIsResolvedByTheClaimsOwnEntry() throws Exception {
+        // The store creates the entry and the connection is cut. The entry instance does not know whether it may run
+        // the request; it writes the claim again, finds its own claim id, and runs the request once.
         claimed(claims.claim(CUSTOMER, Sha256.hex("warm-up"), "a-0"));
         platform.gateway.loseAnswers(1);
         ClaimResult.Claimed result = claimed(claims.claim(CUSTOMER, Sha256.hex("stop-7"), "a-1"));
@@ -141,18 +144,18 @@
     }
 
     @Test
-    void aLostLeaseAnswerCostsAnotherLeaseOnly() throws Exception {
-        // The very first call, which asks for the lease, takes effect without an answer. A second lease is asked for,
-        // and the claim goes on as if nothing had happened; the first one ends by itself.
+    void lostLeaseResponseOnlyCostsAnotherLease() throws Exception {
+        // The first call, which requests the lease, takes effect but its response is lost. A second lease is requested
+        // and the claim succeeds; the first lease expires.
         platform.gateway.loseAnswers(1);
         claimed(claims.claim(CUSTOMER, Sha256.hex("stop-7"), "a-1"));
         assertEquals(2, platform.gateway.calls(CallKind.LEASE_GRANT));
     }
 
     @Test
-    void anOutageEndsInATrueRefusalInBoundedTime() throws Exception {
-        // The service is down. The caller hears "not run" and when to come back, and the entry never runs the request;
-        // when the service is back, the same key can be claimed.
+    void claimIsRejectedAsNotRunInBoundedTimeDuringAnOutage() throws Exception {
+        // The store is down. The caller receives "not run" with a retry delay, and the entry instance never runs the
+        // request; once the store is back, the same key can be claimed.
         claimed(claims.claim(CUSTOMER, Sha256.hex("warm-up"), "a-0"));
         platform.gateway.refuseConnections();
         notClaimed(claims.claim(CUSTOMER, Sha256.hex("stop-7"), "a-1"));
@@ -161,25 +164,25 @@
     }
 
     @Test
-    void inALongOutageAllButOneAreRefusedAtOnce() throws Exception {
-        // The service takes calls in and never answers. The first caller waits for its refusal; of those who come once
-        // the outage is known, one waits and tries the service, and the others hear "not run" at once. After the
-        // outage the one that tries finds the service back, and all are served.
+    void allButOneClaimAreRejectedImmediatelyInALongOutage() throws Exception {
+        // The store accepts calls and never responds. The first caller waits for its rejection; of those that arrive
+        // once the outage is detected, one waits and probes the store, and the others receive "not run" immediately.
+        // After the outage the probe succeeds, and all claims are served.
         ClaimStore entry = claims("b", new ClaimOptions(600_000, 2_000, 500, 50, 2, 128, 1_024));
         platform.gateway.hang();
         notClaimed(entry.claim(CUSTOMER, Sha256.hex("first"), "b-0"));
-        CompletableFuture<ClaimResult> trying = entry.claim(CUSTOMER, Sha256.hex("k"), "b-1");
+        CompletableFuture<ClaimResult> probing = entry.claim(CUSTOMER, Sha256.hex("k"), "b-1");
         until(() -> entry.claim(CUSTOMER, Sha256.hex("other"), "b-2").isDone());
-        assertEquals(false, trying.isDone());
+        assertEquals(false, probing.isDone());
         platform.gateway.recover();
         until(() -> claimedNow(entry));
     }
 
     @Test
-    void aClaimGivenUpInDoubtIsTakenBackLater() throws Exception {
-        // The service takes writes in and answers too late each time, until the claim's time is over. The caller is
-        // told "not run", which is true. The entry that was created all the same is deleted once the service
-        // answers, so the caller's next attempt with this key, at any entry, gets it.
+    void entryOfAnAbandonedClaimIsDeletedLater() throws Exception {
+        // The store accepts writes but always responds too late, until the claim's deadline. The caller receives "not
+        // run", which is correct. The entry that was created nevertheless is deleted once the store responds, so the
+        // caller's next attempt with this key, at any entry instance, succeeds.
         claimed(claims.claim(CUSTOMER, Sha256.hex("warm-up"), "a-0"));
         platform.gateway.delayMs(900);
         notClaimed(claims.claim(CUSTOMER, Sha256.hex("stop-7"), "a-1"));
@@ -190,18 +193,18 @@
     }
 
     @Test
-    void aRateLimitedServiceDelaysClaimsOnly() throws Exception {
-        // The service refuses some calls as too many. Nothing was written by those, so the claim is written again
-        // within its time, and the caller notices a delay at most.
+    void rateLimitingOnlyDelaysClaims() throws Exception {
+        // The store rejects some calls with "too many requests". These wrote nothing, so the claim is written again
+        // before its deadline, and the caller sees at most a delay.
         claimed(claims.claim(CUSTOMER, Sha256.hex("warm-up"), "a-0"));
         platform.gateway.limitNextCalls(3);
         claimed(claims.claim(CUSTOMER, Sha256.hex("stop-7"), "a-1"));
     }
 
     @Test
-    void aLapsedLeaseIsReplaced() throws Exception {
-        // The service has lost all leases while this entry believed in its own. The next claim is rejected for the
-        // unknown lease, asks for a new one, and succeeds.
+    void expiredLeaseIsReplaced() throws Exception {
+        // The store has lost all leases while this entry instance assumes that its own is valid. The next claim is
+        // rejected because of the unknown lease, requests a new one, and succeeds.
         claimed(claims.claim(CUSTOMER, Sha256.hex("warm-up"), "a-0"));
         platform.gateway.lapseLeases();
         claimed(claims.claim(CUSTOMER, Sha256.hex("stop-7"), "a-1"));
@@ -209,9 +212,10 @@
     }
 
     @Test
-    void aPausedEntryKnowsThatItsClaimIsOver() throws Exception {
-        // An entry claims a key and is paused for longer than the lease before it sends the request. Meanwhile another
-        // entry gets the key. The time that came with the claim forbids the first one to send, with time to spare.
+    void claimOfAPausedInstanceHasExpired() throws Exception {
+        // An entry instance claims a key and is paused for longer than the lease before it sends the request. Meanwhile
+        // another instance claims the key. The first claim's usableUntilMs has passed, so the first instance must not
+        // send.
         ClaimResult.Claimed first = claimed(claims.claim(CUSTOMER, Sha256.hex("stop-7"), "a-1"));
         long now = System.currentTimeMillis();
         assertTrue(first.usableUntilMs() >= now + OPTIONS.retentionMs());
@@ -222,23 +226,23 @@
     }
 
     @Test
-    void aClaimWhoseAnswerWasNoticedTooLateRunsNothing() throws Exception {
-        // The claim is made, and the instance is paused before it can act on it; by its clock more than half the
-        // retention has gone when it goes on. It tells the caller "not run", sends nothing, and gives the key back.
-        PlatformClaims inTime = PlatformClaims.of(claims, OPTIONS.retentionMs() / 2, this::nowMs);
-        Claims.Result result = await(inTime.claim(CUSTOMER, Sha256.hex("1"), "a-1"));
+    void claimWhoseResultIsProcessedTooLateIsRejectedAndReleased() throws Exception {
+        // The claim succeeds, and the instance is paused before it processes the result; when it resumes, more than
+        // half the retention has elapsed by its clock. It responds "not run", sends nothing, and releases the key.
+        PlatformClaims notPaused = PlatformClaims.of(claims, OPTIONS.retentionMs() / 2, this::nowMs);
+        Claims.Result result = await(notPaused.claim(CUSTOMER, Sha256.hex("1"), "a-1"));
         assertInstanceOf(Claims.Result.Claimed.class, result);
-        assertEquals(new Claims.Result.HeldBy("a-1"), await(inTime.claim(CUSTOMER, Sha256.hex("1"), "a-2")));
+        assertEquals(new Claims.Result.HeldBy("a-1"), await(notPaused.claim(CUSTOMER, Sha256.hex("1"), "a-2")));
         PlatformClaims paused =
                 PlatformClaims.of(claims, OPTIONS.retentionMs() / 2, () -> nowMs() + 2 * OPTIONS.retentionMs());
         assertInstanceOf(Claims.Result.NotClaimed.class, await(paused.claim(CUSTOMER, Sha256.hex("2"), "a-3")));
         until(() -> platform.metrics.meter("platform.claims.taken-back").getCount() == 1);
         platform.gateway.refuseConnections();
-        assertInstanceOf(Claims.Result.NotClaimed.class, await(inTime.claim(CUSTOMER, Sha256.hex("3"), "a-4")));
+        assertInstanceOf(Claims.Result.NotClaimed.class, await(notPaused.claim(CUSTOMER, Sha256.hex("3"), "a-4")));
     }
 
     @Test
-    void leasesAreSharedAndRolled() throws Exception {
+    void claimsShareALeaseUntilHalfTheRetentionHasElapsed() throws Exception {
         claimed(claims.claim(CUSTOMER, Sha256.hex("1"), "a-1"));
         platform.skippedMs.set(OPTIONS.retentionMs() / 2 - 10_000);
         claimed(claims.claim(CUSTOMER, Sha256.hex("2"), "a-2"));
@@ -250,14 +254,15 @@
     }
 
     @Test
-    void aReleasedKeyMayBeClaimedAgainAndOnlyByItsOwner() throws Exception {
-        claims = claims("a", PATIENT);
-        // A request is refused as not run after its claim, and gives the key back. The caller's next attempt gets it;
-        // the first request's claim, given back a second time, does not touch the new one.
+    void releasedKeyCanBeClaimedAgainAndOnlyItsOwnerReleasesIt() throws Exception {
+        claims = claims("a", LONG_WAIT_OPTIONS);
+        // A request is rejected as not run after its claim, and releases the key. The caller's next attempt claims it;
+        // a second release of the first request's claim does not affect the new one.
         ClaimResult.Claimed first = claimed(claims.claim(CUSTOMER, Sha256.hex("stop-7"), "a-1"));
         claims.release(first);
         until(() -> platform.gateway.value(first.key()).isEmpty());
-        ClaimResult.Claimed second = claimed(claims("b", PATIENT).claim(CUSTOMER, Sha256.hex("stop-7"), "b-1"));
+        ClaimResult.Claimed second =
+                claimed(claims("b", LONG_WAIT_OPTIONS).claim(CUSTOMER, Sha256.hex("stop-7"), "b-1"));
         claims.release(first);
         until(() -> platform.metrics.meter("platform.claims.taken-back").getCount() == 2);
         assertEquals(
@@ -265,9 +270,9 @@
     }
 
     @Test
-    void tooManyWaitingClaimsAreRefusedAtOnce() throws Exception {
-        // The service hangs and claims pile up. Beyond the bound a caller is refused at once, and all that wait are
-        // refused when the instance stops; none is left without an answer.
+    void claimsBeyondMaxWaitingAreRejectedImmediately() throws Exception {
+        // The store hangs and claims accumulate. Beyond the limit a caller is rejected immediately, and all waiting
+        // claims are rejected when the instance stops; none is left incomplete.
         ClaimStore small = claims("d", new ClaimOptions(600_000, 60_000, 500, 50, 2, 8, 8));
         platform.gateway.hang();
         List<CompletableFuture<ClaimResult>> waiting = new ArrayList<>();
@@ -284,7 +289,7 @@
     }
 
     @Test
-    void anUnreadableHolderIsHeldByNobodyKnown() throws Exception {
+    void malformedClaimEntryIsReportedAsHeldByAnUnknownHolder() throws Exception {
         ClaimResult.Claimed probe = claimed(claims.claim(CUSTOMER, Sha256.hex("stop-7"), "a-1"));
         platform.gateway.put(probe.key(), "scribble");
         assertTrue(held(claims.claim(CUSTOMER, Sha256.hex("stop-7"), "a-2"))
--- a/daemon/src/test/java/org/marjoramswitch/daemon/platform/EtcdGatewayStoreTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/platform/EtcdGatewayStoreTest.java
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void createsEachKeyOfABatchForItself() throws Exception {
+    void createsEachKeyOfABatchIndependently() throws Exception {
         platform.gateway.put("claims/c/2", "theirs");
         Map<String, String> batch = new LinkedHashMap<>();
         batch.put("claims/c/1", "mine");
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void leasesEndWithTheirEntries() throws Exception {
+    void entriesAreDeletedWithTheirLease() throws Exception {
         long lease = answered(store.grantLease(30));
         assertTrue(answered(store.compareAndSwap(Map.of("k", 0L), Map.of("k", "v"), List.of(), lease)));
         assertEquals(30, answered(store.renewLease(lease)));
@@ -88,9 +88,9 @@
     }
 
     @Test
-    void aRefusedConnectionIsCertainlyNotSent() throws Exception {
-        // The service's process is gone. The writer is told that nothing was sent, so that it may say "not run";
-        // once the service is back, the same store works again.
+    void callIsNotSentIfTheConnectionIsRefused() throws Exception {
+        // The store's process has exited. The result states that nothing was sent, so the writer may report "not run";
+        // once the process is back, the same client works again.
         platform.gateway.refuseConnections();
         assertInstanceOf(KeyValueResult.NotSent.class, put("k", "v"));
         assertInstanceOf(KeyValueResult.NotSent.class, await(store.get("k")));
@@ -105,9 +105,9 @@
     }
 
     @Test
-    void anAnswerLostAfterTheWriteLeavesTheOutcomeUnknown() throws Exception {
-        // The service carries out the write, then the connection is cut. The writer must not take it for undone,
-        // and the store must not send it a second time; reading back settles it.
+    void outcomeIsUnknownIfTheResponseToAWriteIsLost() throws Exception {
+        // The store performs the write, then the connection is cut. The writer must not assume that the write failed,
+        // and the client must not send it a second time; a read resolves the outcome.
         platform.gateway.loseAnswers(1);
         assertInstanceOf(KeyValueResult.OutcomeUnknown.class, put("k", "v"));
         assertEquals(1, platform.gateway.calls(CallKind.TXN));
@@ -115,9 +115,9 @@
     }
 
     @Test
-    void aSlowServiceEndsReadsAndWritesInTime() throws Exception {
-        // Every answer comes later than the timeout. A write may have happened; a read brought nothing. The late
-        // answers come on connections that were closed, so none is taken for another call's.
+    void readsAndWritesOnASlowStoreEndWithinTheirTimeout() throws Exception {
+        // Every response arrives after the timeout. A write may have taken effect; a read returned nothing. The late
+        // responses arrive on closed connections, so none is taken for another call's response.
         platform.gateway.delayMs(1_000);
         assertInstanceOf(KeyValueResult.OutcomeUnknown.class, put("k", "v"));
         KeyValueResult<Entry> read = await(store.get("k"));
@@ -128,17 +128,17 @@
     }
 
     @Test
-    void aServiceThatAnswersUnavailableLeavesAWriteUnknown() throws Exception {
-        // etcd says "request timed out" with status 503 for writes that it may carry out still, so the status alone
-        // must not count as "not done".
+    void outcomeOfAWriteIsUnknownAfterStatus503() throws Exception {
+        // etcd responds "request timed out" with status 503 to writes that it may still perform, so the status must not
+        // be interpreted as "not done".
         platform.gateway.answerUnavailable();
         assertInstanceOf(KeyValueResult.OutcomeUnknown.class, put("k", "v"));
     }
 
     @Test
-    void aRateLimitedCallIsTriedAgainAndThenRejected() throws Exception {
-        // "Too many requests" is said before anything is carried out: a write may be repeated. While it lasts, the
-        // caller gets it as the result, not as an unknown outcome.
+    void rateLimitedCallIsRetriedAndThenRejected() throws Exception {
+        // "Too many requests" is sent before anything is performed, so a write may be retried. If it persists, the
+        // caller receives a rejection, not an unknown outcome.
         platform.gateway.limitNextCalls(1);
         assertInstanceOf(KeyValueResult.Answered.class, put("k", "v"));
         assertEquals(2, platform.gateway.calls(CallKind.TXN));
@@ -150,8 +150,8 @@
 
     @Test
     void readsAndUnsentWritesFailOver() throws Exception {
-        // One of two addresses refuses connections, and one takes calls in and never answers them. The caller notices
-        // neither, but for a write that the silent one has taken in.
+        // One address refuses connections, another accepts calls and never responds. Neither is visible to the caller,
+        // except for a write that the silent address has accepted.
         HostPort refusing;
         try (ServerSocket gone = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             refusing = HostPort.of("127.0.0.1", gone.getLocalPort());
@@ -171,21 +171,21 @@
 
     @Test
     void callsBeyondTheBudgetAreNotSent() throws Exception {
-        EtcdGatewayStore thrifty = platform.store(options().withBudget(1, 3));
+        EtcdGatewayStore limited = platform.store(options().withBudget(1, 3));
         for (int i = 0; i < 3; i++) {
-            assertInstanceOf(KeyValueResult.Answered.class, await(thrifty.get("k")));
+            assertInstanceOf(KeyValueResult.Answered.class, await(limited.get("k")));
         }
-        KeyValueResult<Entry> beyond = await(thrifty.get("k"));
+        KeyValueResult<Entry> beyond = await(limited.get("k"));
         assertEquals(new KeyValueResult.NotSent<Entry>("budget"), beyond);
-        assertEquals(3, thrifty.calls());
+        assertEquals(3, limited.calls());
         assertEquals(3, platform.gateway.calls());
         assertEquals(1, platform.metrics.meter("platform.budget-spent").getCount());
     }
 
     @Test
-    void aConnectionThatRestedTooLongIsNotUsedAgain() throws Exception {
-        // What stands between the two ends forgets a quiet connection without telling either. A call on it would hang
-        // until its timeout, and a write would end as unknown. So a connection that rested is given up for a new one.
+    void connectionIdleForTooLongIsNotReused() throws Exception {
+        // A middlebox drops an idle connection without notifying either end. A call on it would hang until its timeout,
+        // and a write would end as unknown. A connection that was idle for too long is therefore replaced by a new one.
         assertInstanceOf(KeyValueResult.Answered.class, put("k", "1"));
         assertInstanceOf(KeyValueResult.Answered.class, put("k", "2"));
         assertEquals(1, platform.gateway.connections());
@@ -195,9 +195,9 @@
     }
 
     @Test
-    void aConnectionOnWhichAnAnswerWasLateIsNotUsedAgain() throws Exception {
-        // A read is given up and its answer comes later. On the same connection it would be taken for the answer of
-        // the next call, which asks for something else.
+    void connectionWithALateResponseIsNotReused() throws Exception {
+        // A read times out and its response arrives later. On the same connection it would be taken for the response to
+        // the next call, which reads a different key.
         platform.gateway.put("k1", "1");
         platform.gateway.put("k2", "2");
         platform.gateway.delayMs(250);
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void aWatchBringsEveryChangeOnceInOrder() throws Exception {
+    void watchDeliversEveryChangeOnceInOrder() throws Exception {
         platform.gateway.put("settings/a", "1");
         long revision = platform.gateway.revision();
         platform.gateway.put("settings/a", "2");
@@ -231,9 +231,9 @@
     }
 
     @Test
-    void aStuckWatchHidesAChangeForItsAgeOnly() throws Exception {
-        // The watch's connection stays open and goes silent. The operator's change is written, and no event comes on
-        // it. The fresh connection that takes over brings the change, without the listener seeing a break.
+    void silentWatchConnectionDelaysAChangeByAtMostItsAge() throws Exception {
+        // The watch's connection stays open and goes silent. The operator's change is written, and no event arrives on
+        // it. The connection that replaces it delivers the change, without the listener receiving a break.
         EtcdGatewayStore watching = platform.store(options().withWatchMaxAge(300));
         List<WatchEvent> events = Collections.synchronizedList(new ArrayList<>());
         try (AutoCloseable watch = watching.watch("settings/", platform.gateway.revision(), events::add)) {
@@ -252,9 +252,9 @@
     }
 
     @Test
-    void aServiceRestoredFromABackupBreaksItsWatches() throws Exception {
-        // The service comes back with older contents, and the watch's connection is the only thing that did not notice:
-        // it waits for revisions that are far ahead. An operator's change after the restoration would go unseen.
+    void watchBreaksWhenTheStoreIsRestoredFromABackup() throws Exception {
+        // The store is restored from an older backup, while the watch's connection still waits for revisions that are
+        // far ahead. An operator's change after the restoration would not be delivered.
         EtcdGatewayStore watching = platform.store(options().withWatchMaxAge(100));
         for (int i = 0; i < 10; i++) {
             platform.gateway.put("settings/a", "v" + i);
@@ -269,9 +269,9 @@
     }
 
     @Test
-    void aWatchThatCannotGoOnSaysSoOnce() throws Exception {
-        // Three ways for a watch to end: its connection is cut, its history was compacted, the service is gone when
-        // it is opened. The listener hears of each once and nothing after it.
+    void watchThatCannotContinueReportsItOnce() throws Exception {
+        // A watch ends in three ways: its connection is cut, its history was compacted, or the store is unreachable
+        // when it is opened. The listener receives one Broken event for each and nothing after it.
         for (Runnable fault : List.<Runnable>of(platform.gateway::breakWatches, platform.gateway::refuseConnections)) {
             List<WatchEvent> events = Collections.synchronizedList(new ArrayList<>());
             AutoCloseable watch = platform.store().watch("settings/", platform.gateway.revision(), events::add);
@@ -282,9 +282,9 @@
             assertEquals(new WatchEvent.Broken(), events.get(1));
             watch.close();
         }
-        CompletableFuture<WatchEvent> whileGone = new CompletableFuture<>();
-        platform.store().watch("settings/", 1, whileGone::complete);
-        assertEquals(new WatchEvent.Broken(), await(whileGone));
+        CompletableFuture<WatchEvent> whileUnreachable = new CompletableFuture<>();
+        platform.store().watch("settings/", 1, whileUnreachable::complete);
+        assertEquals(new WatchEvent.Broken(), await(whileUnreachable));
         platform.gateway.recover();
         platform.gateway.put("settings/a", "1");
         platform.gateway.compact();
--- a/daemon/src/test/java/org/marjoramswitch/daemon/platform/FleetListReaderTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/platform/FleetListReaderTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void readsTheListAndTellsOfChangesOnly() throws Exception {
+    void readsTheListAndReportsOnlyChanges() throws Exception {
         ListedInstance listed = new ListedInstance(
                 HostPort.of("127.0.0.1", 8001), HostPort.of("127.0.0.1", 9001), DataCentreId.of("leith-a"), false);
         assertEquals(listed, lists.get(0).instances().get(E1));
@@ -57,9 +57,9 @@
     }
 
     @Test
-    void theLastListStaysInForceInAnOutage() throws Exception {
-        // The service goes away and comes back with another list. In between no list is handed on, above all no empty
-        // one, from which every instance would seem gone.
+    void lastListStaysInForceDuringAnOutage() throws Exception {
+        // The store becomes unreachable and returns with a different list. In between no list is delivered, in
+        // particular no empty one, which would make every instance appear removed.
         until(() -> platform.gateway.waitingWatches() == 1);
         platform.gateway.refuseConnections();
         until(() -> platform.metrics.meter("platform.list.failed").getCount() >= 2);
@@ -71,8 +71,8 @@
     }
 
     @Test
-    void aBrokenWatchLosesNoChange() throws Exception {
-        // The watch is cut, and a target begins to leave before the list is read anew.
+    void brokenWatchLosesNoChange() throws Exception {
+        // The watch is cut, and a target starts draining before the list is read again.
         until(() -> platform.gateway.waitingWatches() == 1);
         platform.gateway.breakWatches();
         platform.gateway.putTarget("m1", "leaving");
@@ -83,9 +83,9 @@
     }
 
     @Test
-    void anEntryThatCannotBeReadChangesNothing() throws Exception {
-        // Some entries are written wrongly. What the list said of these before stays in force, new ones are left out,
-        // all others are read, and each faulty version is counted once however often it is read.
+    void malformedEntryChangesNothing() throws Exception {
+        // Some entries are malformed. Their previous state stays in force, new malformed entries are left out, all
+        // others are read, and each malformed version is counted once however often it is read.
         platform.gateway.put("list/targets/m2", "{\"state\":\"gone fishing\"}");
         platform.gateway.put("list/instances/e1", "not JSON");
         platform.gateway.put("list/instances/e2", "{\"callers\":\"127.0.0.1:0\",\"state\":\"live\"}");
--- a/daemon/src/test/java/org/marjoramswitch/daemon/platform/PlatformFixture.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/platform/PlatformFixture.java
@@ -16,7 +16,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** A stand-in of the platform's service, and stores that talk to it over loopback. */
+/** Fake of the platform's key-value store, and clients connected to it over loopback. */
 final class PlatformFixture implements AutoCloseable {
     private static final long WAIT_SECONDS = 20;
     private static final long POLL_MS = 2;
@@ -74,7 +74,7 @@
         long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadlineNs) {
-                throw new TimeoutException("the condition did not come true");
+                throw new TimeoutException("the condition was not met in time");
             }
             TimeUnit.MILLISECONDS.sleep(POLL_MS);
         }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/platform/PlatformReport.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/platform/PlatformReport.java
@@ -18,8 +18,8 @@
 import org.marjoramswitch.testkit.platform.CallKind;
 
 /**
- * Measures and asserts nothing, so the build does not run it; {@code docs/PLATFORM.md} names the command. It prints the
- * calls that the service counted for claims, watches and the list, and how long faults are felt.
+ * Benchmark without assertions, which the build does not run; {@code docs/PLATFORM.md} documents the command. Prints
+ * the number of store calls for claims, watches and the list, and how long faults affect callers.
  */
 class PlatformReport {
     private static final KeyValueLog LOG = KeyValueLog.of(PlatformReport.class);
@@ -105,7 +105,9 @@
         }
     }
 
-    /** Claims at a steady pace whatever the answers do; the sorted times from the intended start to the answer. */
+    /**
+     * Claims at a constant rate, independent of responses; returns the sorted latencies from scheduled start to result.
+     */
     private static long[] offer(List<ClaimStore> stores, int perSecond, int count) throws Exception {
         long[] latenciesUs = new long[count];
         List<CompletableFuture<Void>> ends = new ArrayList<>();
@@ -162,7 +164,7 @@
     }
 
     private interface Fault {
-        void strike(PlatformFixture platform);
+        void inject(PlatformFixture platform);
     }
 
     private static void reportFault(String name, Fault fault) throws Exception {
@@ -170,7 +172,7 @@
             ClaimStore claims = claimStore(platform, 0);
             await(claims.claim(CUSTOMER, HASH, "first"));
             long before = platform.gateway.calls();
-            fault.strike(platform);
+            fault.inject(platform);
             long[] refusedMs = new long[10];
             for (int i = 0; i < refusedMs.length; i++) {
                 long startNs = System.nanoTime();
--- a/daemon/src/test/java/org/marjoramswitch/daemon/platform/PrefixFollowerTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/platform/PrefixFollowerTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** When a prefix is read anew: at once after a watch that held, and never in a loop. */
+/** Tests when a prefix is read again: immediately after a watch that lasted, and never in a loop. */
 @Timeout(60)
 class PrefixFollowerTest {
     private static final String PREFIX = "followed/";
-    /** No test waits for it; a follower that pauses for so long is seen to sleep. */
+    /** No test waits this long; the tests detect that the follower is sleeping. */
     private static final long LONG_PAUSE_MS = TimeUnit.HOURS.toMillis(1);
 
     private final ReadStore store = new ReadStore();
@@ -30,30 +30,34 @@
         }
     }
 
-    /** What a cut watch missed is hidden until the reading; the pause has passed since the first one. */
+    /**
+     * Changes that a broken watch missed are visible only after the next read; the pause has elapsed since the first.
+     */
     @Test
-    void aBrokenWatchIsFollowedByAReading() throws Exception {
+    void brokenWatchIsFollowedByARead() throws Exception {
         follow(1);
         until(() -> store.listener != null);
         store.breakWatch();
         until(() -> store.reads.get() == 2);
     }
 
-    /** The service counts each call; one that cuts each watch at its start would be read thousands of times a second. */
+    /**
+     * The store counts each call; one that closes each watch at its start would be read thousands of times a second.
+     */
     @Test
-    void aServiceThatCutsEachWatchAtItsStartIsNotReadInALoop() throws Exception {
-        store.cutsWatches = true;
+    void storeThatClosesEachWatchAtItsStartIsNotReadInALoop() throws Exception {
+        store.closesWatches = true;
         follow(LONG_PAUSE_MS);
-        until(PrefixFollowerTest::sleeps);
+        until(PrefixFollowerTest::isSleeping);
         assertEquals(1, store.reads.get());
     }
 
-    /** The same for a service that is away. */
+    /** The same for an unreachable store. */
     @Test
-    void aReadingThatFailedIsFollowedByAPause() throws Exception {
-        store.away = true;
+    void failedReadIsFollowedByAPause() throws Exception {
+        store.unreachable = true;
         follow(LONG_PAUSE_MS);
-        until(PrefixFollowerTest::sleeps);
+        until(PrefixFollowerTest::isSleeping);
         assertEquals(1, store.reads.get());
     }
 
@@ -61,39 +65,39 @@
         follower = PrefixFollower.start(store, PREFIX, pauseMs, 1, entries -> {});
     }
 
-    private static boolean sleeps() {
+    private static boolean isSleeping() {
         return Thread.getAllStackTraces().keySet().stream()
                 .filter(thread -> thread.getName().equals("follow-" + PREFIX))
                 .anyMatch(thread -> thread.getState() == Thread.State.TIMED_WAITING);
     }
 
-    /** A service without entries, which can be away or cut its watches. */
+    /** Store without entries that can be unreachable or close its watches. */
     private static final class ReadStore extends UnsupportedStore {
         private final AtomicInteger reads = new AtomicInteger();
-        private volatile boolean away;
-        private volatile boolean cutsWatches;
+        private volatile boolean unreachable;
+        private volatile boolean closesWatches;
         private volatile @Nullable Consumer<WatchEvent> listener;
 
         private void breakWatch() {
-            Consumer<WatchEvent> told = listener;
-            if (told != null) {
-                told.accept(new WatchEvent.Broken());
+            Consumer<WatchEvent> current = listener;
+            if (current != null) {
+                current.accept(new WatchEvent.Broken());
             }
         }
 
         @Override
         public CompletableFuture<KeyValueResult<Range>> range(String prefix) {
             reads.incrementAndGet();
-            KeyValueResult<Range> result = away
+            KeyValueResult<Range> result = unreachable
                     ? new KeyValueResult.NotSent<>("away")
                     : new KeyValueResult.Answered<>(new Range(List.of(), 1), 1);
             return CompletableFuture.completedFuture(result);
         }
 
         @Override
-        public AutoCloseable watch(String prefix, long afterRevision, Consumer<WatchEvent> told) {
-            listener = told;
-            if (cutsWatches) {
+        public AutoCloseable watch(String prefix, long afterRevision, Consumer<WatchEvent> newListener) {
+            listener = newListener;
+            if (closesWatches) {
                 breakWatch();
             }
             return () -> {};
--- a/daemon/src/test/java/org/marjoramswitch/daemon/platform/SilentConnectionsTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/platform/SilentConnectionsTest.java
@@ -22,15 +22,15 @@
 import org.xnio.XnioWorker;
 
 /**
- * What callers see: refusals by old settings for seconds after connections to the service have gone silent. Order: all
- * open connections go silent; a reading takes one that rests, gets no answer, takes the next one that rests, and so on
- * until its time is over. Cause: the loss of one said nothing about the others. Proof: the same read is answered where
- * only one connection rests.
+ * Guards against rejections based on outdated settings for seconds after the store connections have gone silent. All
+ * open connections go silent; a read uses an idle one, gets no response, uses the next idle one, and so on until its
+ * deadline. It happens if the loss of one connection does not discard the other idle ones; with a single idle
+ * connection the same read succeeds.
  */
 @Timeout(60)
 class SilentConnectionsTest {
-    private static final int RESTING = 4;
-    /** Long enough for a busy machine; three attempts do not fit into a call. */
+    private static final int IDLE_CONNECTIONS = 4;
+    /** Long enough for a busy machine; three attempts don't fit into a call. */
     private static final long ATTEMPT_MS = 1_000;
 
     private static final long CALL_MS = 3 * ATTEMPT_MS;
@@ -39,7 +39,7 @@
     private final StandInServer server = StandInServer.start("service", this::handle);
     private XnioWorker worker;
     private StoreClient client;
-    private int answersHeldBack = RESTING;
+    private int heldResponses = IDLE_CONNECTIONS;
 
     @BeforeEach
     void start() throws Exception {
@@ -63,15 +63,15 @@
         server.close();
     }
 
-    /** Four attempts in vain do not fit into the time of a read, so an early one has to go over a new connection. */
+    /** Four failed attempts exceed the timeout of a read, so an early attempt has to use a new connection. */
     @Test
-    void aReadIsAnsweredThoughAllRestingConnectionsWentSilent() throws Exception {
+    void readSucceedsAlthoughAllIdleConnectionsAreSilent() throws Exception {
         List<CompletableFuture<KeyValueResult<String>>> first = new ArrayList<>();
-        for (int i = 0; i < RESTING; i++) {
+        for (int i = 0; i < IDLE_CONNECTIONS; i++) {
             first.add(read());
         }
-        for (CompletableFuture<KeyValueResult<String>> answer : first) {
-            assertInstanceOf(KeyValueResult.Answered.class, await(answer));
+        for (CompletableFuture<KeyValueResult<String>> response : first) {
+            assertInstanceOf(KeyValueResult.Answered.class, await(response));
         }
         server.silenceOpenConnections();
         assertInstanceOf(KeyValueResult.Answered.class, await(read()));
@@ -81,16 +81,16 @@
         return client.read("GET", "/", "", JsonNode::toString);
     }
 
-    /** Holds the first calls until all of them are there, so that each has a connection of its own. */
+    /** Holds the first calls until all of them have arrived, so that each uses its own connection. */
     private void handle(HttpServerExchange exchange) {
-        if (answersHeldBack == 0) {
+        if (heldResponses == 0) {
             exchange.getResponseSender().send("{}");
             return;
         }
         held.add(exchange);
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-            if (held.size() == RESTING) {
-                answersHeldBack = 0;
+            if (held.size() == IDLE_CONNECTIONS) {
+                heldResponses = 0;
                 held.forEach(each -> each.getResponseSender().send("{}"));
                 held.clear();
             }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/platform/UnsupportedStore.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/platform/UnsupportedStore.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.jspecify.annotations.Nullable;
 
-/** A service of which a test uses a part: the calls that the test's own store does not override fail it. */
+/** Store whose calls throw {@link UnsupportedOperationException}; a test overrides the calls that it uses. */
 public abstract class UnsupportedStore implements KeyValueStore {
     @Override
     public CompletableFuture<KeyValueResult<@Nullable Entry>> get(String key) {
