--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayWatch.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayWatch.java
@@ -98,7 +98,7 @@
     /** Waits once for the backoff caused by another call's failure, so that a single failed call breaks no watch. */
     private void openLater(long waitMs) {
         if (deferred) {
-            breakWatch("no address answers");
+            breakWatch("all addresses are in backoff");
             return;
         }
         deferred = true;
