--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/FleetDirectory.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/FleetDirectory.java
@@ -15,22 +15,23 @@
 import org.marjoramswitch.kernel.model.Member;
 
 /**
- * Joins what an instance learns of the others from three sides: the membership says who is alive, the platform's list
- * where callers connect and who is about to be taken away, and a link's handshake the incarnation of its other end.
+ * Combines an instance's knowledge of the others from three sources: the membership provides the live instances, the
+ * platform's list the addresses for callers and the instances about to be removed, and a link's handshake the
+ * incarnation of its peer.
  *
- * <p>The list lags and may be missing, so it adds and removes no member. An instance without a listed address serves
- * its peers and is only left out of address answers.
+ * <p>The list lags and may be missing, so it neither adds nor removes members. An instance without a listed address
+ * still serves its peers and is only omitted from address responses.
  */
 public final class FleetDirectory implements InstanceDirectory {
     private final InstanceId self;
     private final Consumer<FleetView> onView;
     private final LoadFactor loadFactor;
-    private final Map<InstanceId, Long> provedIncarnations = new HashMap<>();
+    private final Map<InstanceId, Long> verifiedIncarnations = new HashMap<>();
     private HostPort selfCallers;
     private Map<InstanceId, ListedInstance> listed = Map.of();
     private FleetView members;
     private FleetView view;
-    private boolean told;
+    private boolean published;
 
     private FleetDirectory(Member self, HostPort selfCallers, LoadFactor loadFactor, Consumer<FleetView> onView) {
         this.self = self.id();
@@ -41,36 +42,36 @@
         this.view = members;
     }
 
-    /** @param onView told of each change, in order */
+    /** @param onView receives each changed view, in order */
     public static FleetDirectory of(
             Member self, HostPort selfCallers, LoadFactor loadFactor, Consumer<FleetView> onView) {
         return new FleetDirectory(self, selfCallers, loadFactor, onView);
     }
 
-    /** Where this instance's own callers connect, once the port is known. */
+    /** Sets the address to which this instance's callers connect, once the port is known. */
     public synchronized void setSelfCallers(HostPort address) {
         selfCallers = address;
     }
 
-    /** The platform's newest list. */
+    /** Replaces the platform's list. */
     public synchronized void setListed(Map<InstanceId, ListedInstance> instances) {
         listed = Map.copyOf(instances);
         publish();
     }
 
-    /** The membership's newest view. */
+    /** Replaces the membership's view. */
     public synchronized void setMembers(FleetView newest) {
         members = newest;
-        provedIncarnations.keySet().retainAll(newest.members().keySet());
+        verifiedIncarnations.keySet().retainAll(newest.members().keySet());
         publish();
     }
 
     /**
-     * A link's handshake proved the peer's incarnation. It may come before the membership's news of a restart, and what
-     * the link brings then must not be taken for the older incarnation's.
+     * Records the incarnation of a peer that a link's handshake has verified. This may happen before the membership
+     * reports a restart, and messages on the link must not be attributed to the previous incarnation.
      */
     public synchronized void setIncarnation(InstanceId peer, long incarnation) {
-        if (provedIncarnations.merge(peer, incarnation, Math::max) == incarnation) {
+        if (verifiedIncarnations.merge(peer, incarnation, Math::max) == incarnation) {
             publish();
         }
     }
@@ -105,7 +106,7 @@
         return loadFactor.of(customer, view().eligible());
     }
 
-    /** How many instances' worth of work a customer brings. */
+    /** Computes over how many instances a customer's work should be spread. */
     @FunctionalInterface
     public interface LoadFactor {
         double of(CustomerId customer, List<InstanceId> eligible);
@@ -113,21 +114,21 @@
 
     private void publish() {
         FleetView next = FleetView.of(
-                members.members().values().stream().map(this::joined).toList());
-        // The first view is told even where it holds this instance alone: the duties that take part by their place in
-        // the view begin with it, and a fleet of one instance would otherwise never have settings.
-        if (!told || !next.equals(view)) {
-            told = true;
+                members.members().values().stream().map(this::merged).toList());
+        // The first view is published even if it holds this instance alone: the loops whose role depends on the
+        // position in the view start with it, and a fleet of one instance would otherwise never have settings.
+        if (!published || !next.equals(view)) {
+            published = true;
             view = next;
             onView.accept(next);
         }
     }
 
-    private Member joined(Member member) {
+    private Member merged(Member member) {
         ListedInstance known = listed.get(member.id());
         boolean leaving = member.leaving() || (known != null && known.leaving());
         long incarnation =
-                Math.max(member.incarnation(), provedIncarnations.getOrDefault(member.id(), member.incarnation()));
+                Math.max(member.incarnation(), verifiedIncarnations.getOrDefault(member.id(), member.incarnation()));
         return new Member(member.id(), incarnation, member.dataCentre(), leaving, member.processorMillicores());
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/InstanceRegistration.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/InstanceRegistration.java
@@ -16,36 +16,41 @@
 import org.marjoramswitch.kernel.error.ErrorType;
 
 /**
- * Enters this instance in the platform's list where the platform does not do so itself: an entry under a lease, which
- * goes with the instance.
+ * Registers this instance in the platform's list if the platform does not do so itself: an entry with a lease, which is
+ * deleted when the instance stops.
  *
- * <p>The list only introduces instances to one another; who is alive, the membership knows. So the lease is long, is
- * renewed seldom, and an outage that lets it lapse costs nothing but a new entry afterwards.
+ * <p>The list only introduces instances to each other; the membership determines which ones are alive. The lease is
+ * therefore long and seldom renewed, and an outage in which it expires costs only a new entry afterwards.
  *
- * <p>A renewal that is answered well proves little: when the platform's service has come back from an older copy, entry and
- * lease are gone, and the lease's number may be another's. Only the list itself shows whether the entry is there, so one that
- * it has named and names no more, or has not named long after it was written, is written anew, under a new lease.
+ * <p>A successful renewal proves little: if the store was restored from an older copy, entry and lease are gone, and
+ * the lease's id may belong to another instance. Only the list shows whether the entry exists. An entry that was listed
+ * and is no longer, or is not listed long after it was written, is therefore written again, with a new lease.
  */
 public final class InstanceRegistration implements AutoCloseable {
     private static final KeyValueLog LOG = KeyValueLog.of(InstanceRegistration.class);
     private static final String PREFIX = "list/instances/";
-    /** Long against outages of seconds, short against the time for which addresses of the dead do harm. */
+    /**
+     * Longer than outages of seconds; short enough that addresses of failed instances disappear before they do harm.
+     */
     private static final long LEASE_SECONDS = 20;
 
     private static final long RENEW_MS = 6_000;
     private static final long RETRY_MS = 400;
-    /** Over which the instances of a fleet spread that miss their entries together. */
-    private static final int SPREAD_MS = 2_000;
-    /** Above the time after which the list names a new entry, also in a fleet that starts. */
-    private static final long UNNAMED_MS = 10_000;
+    /**
+     * Maximum random delay before re-registration, so that instances which vanished their entries together spread their
+     * writes.
+     */
+    private static final int MAX_REREGISTRATION_DELAY_MS = 2_000;
+    /** Exceeds the time after which a new entry is listed, even while a fleet starts. */
+    private static final long UNLISTED_TIMEOUT_MS = 10_000;
 
     private final KeyValueStore store;
     private final String key;
     private final String value;
     private final Thread thread = new Thread(this::run, "registration");
-    private final Semaphore lost = new Semaphore(0);
-    private volatile boolean named;
-    private long enteredAtNs;
+    private final Semaphore vanished = new Semaphore(0);
+    private volatile boolean listed;
+    private long registeredAtNs;
     private long leaseId;
 
     private InstanceRegistration(KeyValueStore store, LocalSettings settings) {
@@ -67,16 +72,16 @@
         return registration;
     }
 
-    /** The list was read, and names this instance or does not; called by one thread. */
-    public void onListRead(boolean isNamed) {
-        boolean isLost = named && !isNamed;
-        named = isNamed;
-        if (isLost) {
-            lost.release();
+    /** Reports whether the list that was read holds this instance; called by one thread only. */
+    public void onListRead(boolean isListed) {
+        boolean hasVanished = listed && !isListed;
+        listed = isListed;
+        if (hasVanished) {
+            vanished.release();
         }
     }
 
-    /** The entry goes; one that stays behind, as the service is away, ends with its lease. */
+    /** Deletes the entry; if the store is unreachable, the entry remains until its lease expires. */
     @Override
     public void close() {
         thread.interrupt();
@@ -88,44 +93,44 @@
     private void run() {
         try {
             while (true) {
-                pause(keepEntry() ? RENEW_MS : RETRY_MS);
+                pause(registerOrRenew() ? RENEW_MS : RETRY_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Until the time of the next renewal, or until the list names the entry no more. */
+    /** Blocks until the next renewal is due or the entry is no longer listed. */
     private void pause(long waitMs) throws InterruptedException {
-        boolean isLost = lost.tryAcquire(waitMs, TimeUnit.MILLISECONDS);
-        if (isLost) {
-            TimeUnit.MILLISECONDS.sleep(ThreadLocalRandom.current().nextInt(SPREAD_MS));
+        boolean hasVanished = vanished.tryAcquire(waitMs, TimeUnit.MILLISECONDS);
+        if (hasVanished) {
+            TimeUnit.MILLISECONDS.sleep(ThreadLocalRandom.current().nextInt(MAX_REREGISTRATION_DELAY_MS));
         }
-        long enteredAgoMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - enteredAtNs);
-        if (leaseId != 0 && !named && (isLost || enteredAgoMs > UNNAMED_MS)) {
+        long registeredAgeMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - registeredAtNs);
+        if (leaseId != 0 && !listed && (hasVanished || registeredAgeMs > UNLISTED_TIMEOUT_MS)) {
             LOG.info("registration_missing", "key", key);
             leaseId = 0;
         }
     }
 
-    /** Enters the instance, or renews its lease; false where that has to be tried again soon. */
-    private boolean keepEntry() throws InterruptedException {
+    /** Registers the instance or renews its lease; false if that must be retried soon. */
+    private boolean registerOrRenew() throws InterruptedException {
         if (leaseId == 0) {
-            return enter();
+            return register();
         }
-        Long leftSeconds = valueOf(store.renewLease(leaseId), "renew");
-        if (leftSeconds == null) {
+        Long remainingSeconds = valueOf(store.renewLease(leaseId), "renew");
+        if (remainingSeconds == null) {
             return false;
         }
-        if (leftSeconds <= 0) {
+        if (remainingSeconds <= 0) {
             LOG.info("registration_lapsed", "key", key);
             leaseId = 0;
-            return enter();
+            return register();
         }
         return true;
     }
 
-    private boolean enter() throws InterruptedException {
+    private boolean register() throws InterruptedException {
         Long granted = valueOf(store.grantLease(LEASE_SECONDS), "lease");
         if (granted == null) {
             return false;
@@ -135,7 +140,7 @@
             return false;
         }
         leaseId = granted;
-        enteredAtNs = System.nanoTime();
+        registeredAtNs = System.nanoTime();
         LOG.info("registered", "key", key);
         return true;
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/PoisonRequestStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/PoisonRequestStore.java
@@ -20,23 +20,24 @@
 import org.marjoramswitch.kernel.message.PeerMessage.RequestCrash;
 
 /**
- * Writes under which requests targets have ended to the platform's list, and tells the decisions what stands there. It is
- * for the case that all instances end together and start anew knowing nothing: a harmful request would end as many targets
- * again. Peers tell one another without it, so it may be late, and an entry that cannot be written for a while is given up.
+ * Stores in the platform's list which requests targets have crashed under, and passes stored crashes to the decision
+ * loop. Needed if all instances crash together and restart without state: otherwise a poison request would crash the
+ * same number of targets again. Peers exchange crash counts without it, so entries may be late, and one that can't be
+ * written for a minute is dropped.
  */
 public final class PoisonRequestStore {
     private static final KeyValueLog LOG = KeyValueLog.of(PoisonRequestStore.class);
-    /** Above the time that instances need to start anew; a longer block is written again with its next end. */
+    /** Exceeds the time that instances need to restart; a longer block is written again after its next crash. */
     private static final long LEASE_SECONDS = 600;
 
     private static final long RETRY_MS = 1_000;
-    private static final int MOST_TRIES = 60;
+    private static final int MAX_ATTEMPTS = 60;
 
     private final KeyValueStore store;
     private final EventSink decisions;
     private final LongSupplier wallClockMs;
     private final Delay delay;
-    private Set<ListedCrash> told = Set.of();
+    private Set<ListedCrash> reported = Set.of();
 
     private PoisonRequestStore(KeyValueStore store, EventSink decisions, LongSupplier wallClockMs, Delay delay) {
         this.store = store;
@@ -45,38 +46,38 @@
         this.delay = delay;
     }
 
-    /** @param wallClockMs the time of day, which instances share roughly */
+    /** @param wallClockMs the wall clock, which is roughly synchronized between instances */
     public static PoisonRequestStore of(
             KeyValueStore store, EventSink decisions, LongSupplier wallClockMs, Delay delay) {
         return new PoisonRequestStore(store, decisions, wallClockMs, delay);
     }
 
-    /** Runs a task later; dropped where the instance has ended by then. */
+    /** Runs a task after a delay; the task is dropped if the instance has stopped by then. */
     @FunctionalInterface
     public interface Delay {
         void after(long delayMs, Runnable task);
     }
 
-    /** Writes what is held against one request; never blocks. */
+    /** Stores the crashes under one request; never blocks. */
     public void save(Action.KeepCrashes kept) {
         String key = FleetList.CRASHES_PREFIX + Long.toHexString(kept.digest());
         write(key, value(kept.crashes()), 1);
     }
 
     /**
-     * The list was read; called by one thread. Each end is told once: a request that was served since would be blocked again
-     * by what the list still says.
+     * Reports the crashes in the list that was read; called by one thread only. Each crash is reported once: otherwise
+     * a request that has been served since would be blocked again because of an outdated list entry.
      */
     public void onListRead(Set<ListedCrash> crashes) {
         long nowMs = wallClockMs.getAsLong();
-        List<RequestCrash> news = crashes.stream()
-                .filter(crash -> !told.contains(crash))
+        List<RequestCrash> newCrashes = crashes.stream()
+                .filter(crash -> !reported.contains(crash))
                 .map(crash ->
                         new RequestCrash(crash.digest(), crash.target(), Math.max(0, nowMs - crash.crashedAtMs())))
                 .toList();
-        told = crashes;
-        if (!news.isEmpty()) {
-            decisions.offer(new Event.CrashesListed(news));
+        reported = crashes;
+        if (!newCrashes.isEmpty()) {
+            decisions.offer(new Event.CrashesListed(newCrashes));
         }
     }
 
@@ -90,7 +91,7 @@
         return value.toString();
     }
 
-    private void write(String key, String value, int tries) {
+    private void write(String key, String value, int attempts) {
         CompletableFuture<Boolean> written = store.grantLease(LEASE_SECONDS).thenCompose(lease -> {
             if (lease instanceof KeyValueResult.Answered<Long> granted) {
                 return store.compareAndSwap(Map.of(), Map.of(key, value), List.of(), granted.value())
@@ -98,11 +99,11 @@
             }
             return CompletableFuture.completedFuture(false);
         });
-        CompletableFuture<?> unused = written.whenComplete((done, fault) -> {
-            if (fault == null && done) {
-                LOG.info("crashes_kept", "key", key, "tries", tries);
-            } else if (tries < MOST_TRIES) {
-                delay.after(RETRY_MS, () -> write(key, value, tries + 1));
+        CompletableFuture<?> unused = written.whenComplete((succeeded, fault) -> {
+            if (fault == null && succeeded) {
+                LOG.info("crashes_kept", "key", key, "tries", attempts);
+            } else if (attempts < MAX_ATTEMPTS) {
+                delay.after(RETRY_MS, () -> write(key, value, attempts + 1));
             } else {
                 LOG.warn("crashes_not_kept", "type", ErrorType.PLATFORM_UNAVAILABLE, "key", key);
             }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/TargetList.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/TargetList.java
@@ -23,18 +23,18 @@
 /**
  * Follows the list in which targets register themselves.
  *
- * <p>A target whose entry says that it leaves, or whose entry is gone, gets no new request. While the service was away
- * entries lapse that their targets could not renew; a target that lives writes its own again soon after. So targets may
- * be kept for that time, see {@link MissingTargetPolicy}.
+ * <p>A target whose entry says that it is leaving, or whose entry is gone, gets no new request. While the store is
+ * down, entries expire that their targets could not renew; a live target writes its entry again soon after. Targets may
+ * be kept during that time, see {@link MissingTargetPolicy}.
  */
 public final class TargetList implements AutoCloseable {
     private static final KeyValueLog LOG = KeyValueLog.of(TargetList.class);
-    /** The pause between two readings, and after one that failed; a leaving target must be known within two seconds. */
+    /** Pause between two reads, and after a failed one; a draining target must be known within two seconds. */
     private static final long READ_PAUSE_MS = 250;
-    /** Targets write their entries again within about two seconds of the service's return. */
-    private static final long LAPSED_KEPT_MS = 2_300;
-    /** Above the targets that leave within the age of any copy. */
-    private static final int MOST_DEPARTED = 1_024;
+    /** Targets write their entries again within about two seconds after the store's recovery. */
+    private static final long MISSING_KEPT_MS = 2_300;
+    /** Exceeds the number of targets that leave within the age of any backup of the store. */
+    private static final int MAX_DEPARTED = 1_024;
 
     private final Decoder decoder;
     private final Consumer<Map<TargetId, TargetSettings>> listener;
@@ -42,13 +42,13 @@
     private final LoggedEntries logged = LoggedEntries.create();
     private @Nullable PrefixFollower follower;
     private final Map<TargetId, Entry> readyEntries = new HashMap<>();
-    /** Of targets that have left, the last entry that named them ready. */
+    /** Last entry with state ready of each target that has left. */
     private final Map<TargetId, Entry> departed = new LinkedHashMap<>();
 
     private Map<TargetId, TargetSettings> known = Map.of();
-    private @Nullable String failing;
-    private long keepLapsedUntilMs;
-    private boolean told;
+    private @Nullable String lastFailure;
+    private long keepMissingUntilMs;
+    private boolean notified;
 
     private TargetList(Decoder decoder, Consumer<Map<TargetId, TargetSettings>> listener, LongSupplier clockMs) {
         this.decoder = decoder;
@@ -56,17 +56,17 @@
         this.clockMs = clockMs;
     }
 
-    /** Reads an entry of the platform's own format. */
+    /** Decodes an entry in the platform's format. */
     @FunctionalInterface
     public interface Decoder {
-        /** Empty where the entry cannot be read. */
+        /** Empty if the entry is malformed. */
         Optional<ListedTarget> decode(Entry entry);
     }
 
-    /** A listed target, and whether it may be given new requests. */
+    /** A listed target and whether it accepts new requests. */
     public record ListedTarget(TargetSettings settings, boolean ready) {}
 
-    /** @param listener told of the targets that may be given requests, each time that they change */
+    /** @param listener receives the targets that accept requests, each time they change */
     public static TargetList start(
             KeyValueStore store,
             String prefix,
@@ -83,7 +83,7 @@
 
                     @Override
                     public boolean wantsRedelivery() {
-                        return clockMs.getAsLong() < list.keepLapsedUntilMs + LAPSED_KEPT_MS;
+                        return clockMs.getAsLong() < list.keepMissingUntilMs + MISSING_KEPT_MS;
                     }
 
                     @Override
@@ -102,17 +102,17 @@
     }
 
     private void onUnreadable(String reason) {
-        if (failing == null) {
+        if (lastFailure == null) {
             LOG.warn("target_list_stale", "type", ErrorType.PLATFORM_UNAVAILABLE, "reason", reason);
         }
-        failing = reason;
+        lastFailure = reason;
     }
 
     private void onEntries(Collection<Entry> entries) {
         long nowMs = clockMs.getAsLong();
-        if (failing != null) {
-            failing = null;
-            keepLapsedUntilMs = nowMs + LAPSED_KEPT_MS;
+        if (lastFailure != null) {
+            lastFailure = null;
+            keepMissingUntilMs = nowMs + MISSING_KEPT_MS;
             LOG.info("target_list_readable", "entries", entries.size());
         }
         Map<TargetId, TargetSettings> ready = new TreeMap<>();
@@ -120,57 +120,58 @@
         for (Entry entry : entries) {
             Optional<ListedTarget> target = decoder.decode(entry);
             if (target.isEmpty()) {
-                logUnreadable(entry);
+                logMalformed(entry);
                 continue;
             }
             TargetSettings settings = target.get().settings();
             listed.add(settings.id());
-            if (target.get().ready() && !isOfBefore(settings.id(), entry)) {
+            if (target.get().ready() && !isFromBeforeDeparture(settings.id(), entry)) {
                 ready.put(settings.id(), settings);
                 readyEntries.put(settings.id(), entry);
             }
         }
-        noteDeparted(ready.keySet());
-        if (nowMs < keepLapsedUntilMs) {
+        recordDeparted(ready.keySet());
+        if (nowMs < keepMissingUntilMs) {
             ready.putAll(MissingTargetPolicy.targetsToKeep(known, listed));
         }
-        tell(ready);
+        publish(ready);
     }
 
     /**
-     * Whether the entry is the one that a target had before it left: the service has come back from an older copy, and the
-     * target, which is gone, will not write another. One that lives does, and the new entry differs at least in its count.
+     * Whether the entry is the one that a target had before it left: the store was restored from an older copy, and the
+     * target, which has exited, will not write another. A live target writes a new entry, which differs at least in its
+     * create revision.
      */
-    private boolean isOfBefore(TargetId id, Entry entry) {
+    private boolean isFromBeforeDeparture(TargetId id, Entry entry) {
         Entry last = departed.get(id);
-        boolean ofBefore = last != null
+        boolean fromBeforeDeparture = last != null
                 && last.createRevision() == entry.createRevision()
                 && last.value().equals(entry.value());
-        if (last != null && !ofBefore) {
+        if (last != null && !fromBeforeDeparture) {
             departed.remove(id);
         }
-        return ofBefore;
+        return fromBeforeDeparture;
     }
 
-    private void noteDeparted(Set<TargetId> ready) {
-        readyEntries.entrySet().removeIf(was -> {
-            boolean left = !ready.contains(was.getKey());
+    private void recordDeparted(Set<TargetId> ready) {
+        readyEntries.entrySet().removeIf(previous -> {
+            boolean left = !ready.contains(previous.getKey());
             if (left) {
-                departed.put(was.getKey(), was.getValue());
+                departed.put(previous.getKey(), previous.getValue());
             }
             return left;
         });
-        while (departed.size() > MOST_DEPARTED) {
+        while (departed.size() > MAX_DEPARTED) {
             departed.remove(departed.keySet().iterator().next());
         }
     }
 
-    private void tell(Map<TargetId, TargetSettings> ready) {
-        if (told && ready.equals(known)) {
+    private void publish(Map<TargetId, TargetSettings> ready) {
+        if (notified && ready.equals(known)) {
             return;
         }
         logChanges(ready);
-        told = true;
+        notified = true;
         known = Map.copyOf(ready);
         listener.accept(known);
     }
@@ -188,7 +189,7 @@
         });
     }
 
-    private void logUnreadable(Entry entry) {
+    private void logMalformed(Entry entry) {
         if (logged.add(entry)) {
             LOG.warn("target_list_entry_malformed", "type", ErrorType.FLEET_LIST_INVALID, "key", entry.key());
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/package-info.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/package-info.java
@@ -1,4 +1,4 @@
-/** What an instance knows of the fleet's other instances. */
+/** Instances and targets of the fleet as known to an instance. */
 @NullMarked
 package org.marjoramswitch.daemon.fleet;
 
--- a/daemon/src/test/java/org/marjoramswitch/daemon/fleet/CustomerSpreadTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/fleet/CustomerSpreadTest.java
@@ -12,7 +12,7 @@
 
 class CustomerSpreadTest {
     private static final CustomerId CUSTOMER = CustomerId.of("grande-ligne");
-    private static final long KEEP_MS = 30_000;
+    private static final long ADDRESS_TTL_MS = 30_000;
     private static final List<InstanceId> INSTANCES = IntStream.rangeClosed(1, 9)
             .mapToObj(i -> InstanceId.of("entry-" + i))
             .toList();
@@ -21,26 +21,26 @@
     private int open;
 
     @Test
-    void aSmallCustomerStaysOnOneInstance() {
+    void smallCustomerStaysOnOneInstance() {
         CustomerSpread spread = spreadAt(0);
         open = 10;
         assertEquals(1, spread.spread(CUSTOMER, INSTANCES, 0));
     }
 
-    /** The callers spread as they are told, after each period; the estimate comes to rest where the work needs it. */
+    /** The callers follow the spread after each period; the estimate converges to the number of instances needed. */
     @Test
-    void aLargeCustomerSpreadsUntilItsWorkFitsAndStaysThere() {
+    void spreadOfALargeCustomerGrowsUntilItsWorkFitsAndStaysThere() {
         CustomerSpread spread = spreadAt(0);
         double instances = 1;
         for (int period = 0; period < 20; period++) {
             open = (int) Math.round(200 / instances);
-            instances = spread.spread(CUSTOMER, INSTANCES, period * KEEP_MS);
+            instances = spread.spread(CUSTOMER, INSTANCES, period * ADDRESS_TTL_MS);
         }
         assertTrue(instances > 6 && instances < 6.6, "spread over " + instances);
     }
 
     @Test
-    void manyAnswersInOnePeriodDoNotMultiplyTheSpread() {
+    void manyCallsInOnePeriodDoNotMultiplyTheSpread() {
         CustomerSpread spread = spreadAt(0);
         open = 200;
         for (int i = 0; i < 1_000; i++) {
@@ -49,29 +49,29 @@
     }
 
     @Test
-    void aCustomerThatGrowsQuietComesBackToOneInstance() {
+    void idleCustomerReturnsToOneInstance() {
         CustomerSpread spread = spreadAt(0);
         open = 200;
         spread.spread(CUSTOMER, INSTANCES, 0);
-        spread.spread(CUSTOMER, INSTANCES, KEEP_MS);
+        spread.spread(CUSTOMER, INSTANCES, ADDRESS_TTL_MS);
         open = 0;
         for (int period = 2; period < 6; period++) {
-            spread.spread(CUSTOMER, INSTANCES, period * KEEP_MS);
+            spread.spread(CUSTOMER, INSTANCES, period * ADDRESS_TTL_MS);
         }
-        assertEquals(1, spread.spread(CUSTOMER, INSTANCES, 6 * KEEP_MS));
+        assertEquals(1, spread.spread(CUSTOMER, INSTANCES, 6 * ADDRESS_TTL_MS));
     }
 
-    /** The third instance in the customer's order has never chosen a spread; the work it holds tells of one. */
+    /** The third instance in the customer's order has no estimate; it infers a spread from the work that it holds. */
     @Test
-    void anInstanceFurtherDownTheOrderDoesNotSendTheWorkBack() {
+    void instanceLaterInTheOrderDoesNotSendTheWorkBack() {
         CustomerSpread spread = spreadAt(2);
         open = 20;
         assertEquals(3, spread.spread(CUSTOMER, INSTANCES, 0));
         open = 3;
-        assertTrue(spread.spread(CUSTOMER, INSTANCES, KEEP_MS) < 3);
+        assertTrue(spread.spread(CUSTOMER, INSTANCES, ADDRESS_TTL_MS) < 3);
     }
 
-    private CustomerSpread spreadAt(int place) {
-        return CustomerSpread.of(ORDER.get(place), customer -> open, KEEP_MS);
+    private CustomerSpread spreadAt(int rank) {
+        return CustomerSpread.of(ORDER.get(rank), customer -> open, ADDRESS_TTL_MS);
     }
 }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/fleet/MissingTargetPolicyTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/fleet/MissingTargetPolicyTest.java
@@ -14,20 +14,22 @@
 class MissingTargetPolicyTest {
     private static final Map<TargetId, TargetSettings> KNOWN = known("a1", "a2", "a3", "a4", "b1", "b2");
 
-    /** The service was away and every entry has lapsed: callers must still be served until they are back. */
+    /** The store was down and every entry has expired: callers must still be served until the entries are back. */
     @Test
-    void aPoolThatIsMissingAsAWholeIsKept() {
+    void targetsOfACompletelyMissingPoolAreKept() {
         assertEquals(KNOWN, MissingTargetPolicy.targetsToKeep(KNOWN, Set.of()));
     }
 
-    /** This instance alone was cut off: a target that left meanwhile gets no request after the list was read. */
+    /**
+     * Only this instance was disconnected: a target that left in the meantime gets no request after the list was read.
+     */
     @Test
-    void fewMissingTargetsHaveLeft() {
+    void fewMissingTargetsAreNotKept() {
         assertEquals(Map.of(), MissingTargetPolicy.targetsToKeep(KNOWN, ids("a1", "a2", "a3", "b1")));
     }
 
     @Test
-    void eachPoolIsJudgedByItself() {
+    void eachPoolIsDecidedIndependently() {
         assertEquals(
                 Set.of(TargetId.of("b1"), TargetId.of("b2")),
                 MissingTargetPolicy.targetsToKeep(KNOWN, ids("a1", "a2", "a3")).keySet());
