--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/AcceptanceRound.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/AcceptanceRound.java
@@ -21,80 +21,91 @@
 import org.marjoramswitch.kernel.configuration.SettingsKeys;
 
 /**
- * One pass over the platform's service: read what is accepted, then the drafts, then the refusals; decide; publish;
- * write the refusals that changed. Any call that fails ends the round, and the next one begins by reading: that alone
- * settles a write whose answer was lost, as it shows whether the write took effect.
+ * A single acceptance round against the key-value store: reads the accepted settings, the drafts and the refusals;
+ * decides; publishes the next generation; writes the refusals that changed. Any failed call ends the round. The next
+ * round starts by reading, which also shows whether a write whose response was lost took effect.
  *
- * <p>The accepted settings are read before the drafts; {@link SettingsAcceptor} says why the order matters. Each
- * write is a compare-and-swap on what the round has read, so a round that was paused for long changes nothing: the
- * publication fails on the head's revision, a refusal on the head's or on one of the team's drafts'.
+ * <p>Correctness: the accepted settings are read before the drafts, see {@link SettingsAcceptor}. Each write is a
+ * compare-and-swap on the revisions that the round has read, so a round that was paused for a long time changes
+ * nothing: a publication fails on the head's revision, a refusal on the revision of the head or of one of the team's
+ * drafts.
  */
 final class AcceptanceRound {
     private static final KeyValueLog LOG = KeyValueLog.of(AcceptanceRound.class);
     private static final long NO_LEASE = 0;
     private static final long ABSENT = 0;
 
-    private final LoopContext parts;
+    private final LoopContext context;
     private final StoreCalls calls;
     private final RepairDelay repairDelay;
-    private final boolean accepts;
-    private final Ending ending;
+    private final boolean readsDrafts;
+    private final EndListener endListener;
     private final Map<String, String> acceptedByKey = new HashMap<>();
     private final List<Draft> drafts = new ArrayList<>();
     private final SortedMap<String, SortedMap<String, Long>> draftRevisions = new TreeMap<>();
     private final Deque<RefusalWrite> refusalWrites = new ArrayDeque<>();
-    private AcceptedTree recorded = AcceptedTree.NONE;
+    private AcceptedTree stored = AcceptedTree.NONE;
     private long headRevision = ABSENT;
     private long draftsRevision = ABSENT;
     private Cause cause = Cause.DRAFTS;
     private long progressMs;
-    private boolean over;
+    private boolean ended;
 
     private AcceptanceRound(
-            LoopContext parts, StoreCalls calls, RepairDelay repairDelay, boolean accepts, Ending ending, long nowMs) {
-        this.parts = parts;
+            LoopContext context,
+            StoreCalls calls,
+            RepairDelay repairDelay,
+            boolean readsDrafts,
+            EndListener endListener,
+            long nowMs) {
+        this.context = context;
         this.calls = calls;
         this.repairDelay = repairDelay;
-        this.accepts = accepts;
-        this.ending = ending;
+        this.readsDrafts = readsDrafts;
+        this.endListener = endListener;
         this.progressMs = nowMs;
     }
 
     /**
-     * Begins a round.
+     * Starts a round.
      *
-     * @param accepts false where the round only reads what is accepted
-     * @param ending hears once of its end
+     * @param readsDrafts false if the round only reads the accepted settings
+     * @param endListener called once when the round ends, unless it is abandoned
      */
     static AcceptanceRound start(
-            LoopContext parts, StoreCalls calls, RepairDelay repairDelay, boolean accepts, Ending ending, long nowMs) {
-        AcceptanceRound round = new AcceptanceRound(parts, calls, repairDelay, accepts, ending, nowMs);
-        parts.metrics().rounds().inc();
-        round.call(parts.store().range(SettingsKeys.ACCEPTED), round::onAccepted);
+            LoopContext context,
+            StoreCalls calls,
+            RepairDelay repairDelay,
+            boolean readsDrafts,
+            EndListener endListener,
+            long nowMs) {
+        AcceptanceRound round = new AcceptanceRound(context, calls, repairDelay, readsDrafts, endListener, nowMs);
+        context.metrics().rounds().inc();
+        round.call(context.store().range(SettingsKeys.ACCEPTED), round::onAccepted);
         return round;
     }
 
-    /** Ends the round without a word; replies that are still to come are passed over. */
+    /** Ends the round without notifying the listener; outstanding replies are ignored. */
     void abandon() {
-        over = true;
+        ended = true;
     }
 
-    /** Whether the round reads the drafts, too. */
-    boolean accepts() {
-        return accepts;
+    /** Whether the round also reads the drafts. */
+    boolean readsDrafts() {
+        return readsDrafts;
     }
 
-    /** When the round began or was last answered. */
+    /** The time at which the round started or last received a reply. */
     long progressMs() {
         return progressMs;
     }
 
-    /** The head's revision as read or written last, 0 where there is none. */
+    /** The revision of the head as last read or written; 0 if there is none. */
     long headRevision() {
         return headRevision;
     }
 
-    /** The revision that the drafts were read at. */
+    /** The store revision at which the drafts were read. */
     long draftsRevision() {
         return draftsRevision;
     }
@@ -106,15 +117,15 @@
                 headRevision = entry.modRevision();
             }
         }
-        recorded = AcceptedTree.fromStore(acceptedByKey);
-        if (recorded.generation() > 0) {
-            adopt(recorded, "platform");
+        stored = AcceptedTree.fromStore(acceptedByKey);
+        if (stored.generation() > 0) {
+            adopt(stored, "platform");
         }
-        if (!accepts) {
+        if (!readsDrafts) {
             end(Result.DONE, nowMs);
             return;
         }
-        call(parts.store().range(SettingsKeys.DRAFTS), this::onDrafts);
+        call(context.store().range(SettingsKeys.DRAFTS), this::onDrafts);
     }
 
     private void onDrafts(KeyValueStore.Range range, long revision, long nowMs) {
@@ -130,18 +141,18 @@
                     .computeIfAbsent(draft.team(), team -> new TreeMap<>())
                     .put(draft.document(), draft.modRevision());
         }
-        call(parts.store().range(SettingsKeys.REFUSALS), this::onRefusals);
+        call(context.store().range(SettingsKeys.REFUSALS), this::onRefusals);
     }
 
     private void onRefusals(KeyValueStore.Range range, long revision, long nowMs) {
-        AcceptedTree held = inForce().tree();
-        long highestSeen = inForce().highestSeen();
-        cause = Cause.of(recorded, held, highestSeen);
+        AcceptedTree held = activeSettings().tree();
+        long highestSeen = activeSettings().highestSeen();
+        cause = Cause.of(stored, held, highestSeen);
         if (repairDelay.mustWait(cause != Cause.DRAFTS, nowMs)) {
             end(Result.AGAIN, nowMs);
             return;
         }
-        Acceptance acceptance = SettingsAcceptor.decide(recorded, held, highestSeen, drafts);
+        Acceptance acceptance = SettingsAcceptor.decide(stored, held, highestSeen, drafts);
         refusalWrites.addAll(RefusalWrite.plan(range.entries(), acceptance.refusals(), draftRevisions));
         AcceptedTree next = acceptance.next();
         if (next == null) {
@@ -160,19 +171,19 @@
                 .sorted()
                 .toList();
         puts.entrySet().removeIf(put -> put.getValue().equals(acceptedByKey.get(put.getKey())));
-        // The head alone is compared: whoever writes a body writes the head in the same transaction.
-        var swap = parts.store().compareAndSwap(Map.of(SettingsKeys.HEAD, headRevision), puts, deletes, NO_LEASE);
+        // Comparing the head is enough because every transaction that writes a body also writes the head.
+        var swap = context.store().compareAndSwap(Map.of(SettingsKeys.HEAD, headRevision), puts, deletes, NO_LEASE);
         call(swap, (done, revision, nowMs) -> onPublished(next, done, revision, nowMs));
     }
 
     private void onPublished(AcceptedTree next, boolean done, long revision, long nowMs) {
         if (!done) {
-            parts.metrics().publicationsLost().inc();
+            context.metrics().publicationsLost().inc();
             end(Result.AGAIN, nowMs);
             return;
         }
         headRevision = revision;
-        parts.metrics().publications().inc();
+        context.metrics().publications().inc();
         LOG.info(
                 "settings_accepted",
                 "generation",
@@ -184,7 +195,7 @@
                 "teams",
                 String.join(",", next.bodiesAfter(next.generation() - 1).keySet()),
                 "after_generation",
-                recorded.generation());
+                stored.generation());
         adopt(next, "own");
         writeRefusals(nowMs);
     }
@@ -197,7 +208,7 @@
         }
         Map<String, Long> expected = new TreeMap<>(write.expectedRevisions());
         expected.put(SettingsKeys.HEAD, headRevision);
-        var swap = parts.store().compareAndSwap(expected, write.puts(), write.deletes(), NO_LEASE);
+        var swap = context.store().compareAndSwap(expected, write.puts(), write.deletes(), NO_LEASE);
         call(swap, (done, revision, replyMs) -> onRefusalWritten(write, done, replyMs));
     }
 
@@ -206,76 +217,76 @@
             end(Result.AGAIN, nowMs);
             return;
         }
-        parts.metrics().refusalsWritten().inc();
+        context.metrics().refusalsWritten().inc();
         write.log(LOG);
         writeRefusals(nowMs);
     }
 
-    private ActiveSettings inForce() {
-        return parts.inForce();
+    private ActiveSettings activeSettings() {
+        return context.activeSettings();
     }
 
     private void adopt(AcceptedTree tree, String source) {
-        inForce().adopt(tree.generation(), tree.head().digest(), tree.bodyByTeam(), source);
+        activeSettings().adopt(tree.generation(), tree.head().digest(), tree.bodyByTeam(), source);
     }
 
     private <T extends @Nullable Object> void call(CompletableFuture<KeyValueResult<T>> call, Step<T> step) {
         calls.then(call, (result, nowMs) -> {
-            if (over) {
+            if (ended) {
                 return;
             }
             progressMs = nowMs;
             if (result instanceof KeyValueResult.Answered<T> answered) {
-                step.on(answered.value(), answered.revision(), nowMs);
+                step.onValue(answered.value(), answered.revision(), nowMs);
                 return;
             }
-            parts.metrics().callsFailed().inc();
+            context.metrics().callsFailed().inc();
             LOG.warn("settings_call_failed", "result", result);
             end(Result.FAILED, nowMs);
         });
     }
 
     private void end(Result result, long nowMs) {
-        over = true;
-        ending.on(result, nowMs);
+        ended = true;
+        endListener.onEnd(result, nowMs);
     }
 
-    /** How a round ended. */
+    /** The outcome of a round. */
     enum Result {
-        /** All that was to do is done. */
+        /** The round is complete. */
         DONE,
-        /** Another acceptor was faster, or a repair has to wait: read again soon. */
+        /** Another acceptor wrote first, or a repair has to wait: read again soon. */
         AGAIN,
-        /** A call had no usable answer: read again after a pause. */
+        /** A call failed: read again after a delay. */
         FAILED
     }
 
-    /** Why a generation is published. */
+    /** The reason for publishing a generation; its lower-case name is logged. */
     private enum Cause {
         /** Drafts changed. */
         DRAFTS,
-        /** The service has lost a generation that this instance holds. */
+        /** The store has lost a generation that this instance holds. */
         SERVICE_RESTORED,
-        /** The service has lost a generation that was announced and that nobody has passed on. */
+        /** The store has lost an announced generation that no peer has delivered. */
         GENERATION_LOST;
 
-        static Cause of(AcceptedTree recorded, AcceptedTree held, long highestSeen) {
-            if (SettingsAcceptor.isRestored(recorded, held)) {
+        static Cause of(AcceptedTree stored, AcceptedTree held, long highestSeen) {
+            if (SettingsAcceptor.isRestored(stored, held)) {
                 return SERVICE_RESTORED;
             }
-            return highestSeen > recorded.generation() ? GENERATION_LOST : DRAFTS;
+            return highestSeen > stored.generation() ? GENERATION_LOST : DRAFTS;
         }
     }
 
-    /** Hears of a round's end. */
+    /** Receives the outcome of a round. */
     @FunctionalInterface
-    interface Ending {
-        void on(Result result, long nowMs);
+    interface EndListener {
+        void onEnd(Result result, long nowMs);
     }
 
-    /** What follows an answered call. */
+    /** Continues the round with the value of a successful call. */
     @FunctionalInterface
     private interface Step<T extends @Nullable Object> {
-        void on(T value, long revision, long nowMs);
+        void onValue(T value, long revision, long nowMs);
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ActiveSettings.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ActiveSettings.java
@@ -11,7 +11,10 @@
 import org.marjoramswitch.kernel.configuration.AcceptedTree;
 import org.marjoramswitch.kernel.configuration.GenerationHolder;
 
-/** The generation that this instance holds, with those who hear of a new one. Used by the duty's thread alone. */
+/**
+ * Holds the active settings generation of this instance and notifies listeners of a new one. Only the loop's thread may
+ * use it, except for {@link #generation}.
+ */
 final class ActiveSettings {
     private static final KeyValueLog LOG = KeyValueLog.of(ActiveSettings.class);
 
@@ -35,7 +38,7 @@
         listeners.add(listener);
     }
 
-    /** The generation in force, 0 for none; any thread may ask. */
+    /** The active generation, 0 for none. Thread-safe. */
     long generation() {
         return generation;
     }
@@ -48,17 +51,20 @@
         return holder.highestSeen();
     }
 
-    /** Notes that a generation exists somewhere. */
-    void seen(long announced) {
+    /** Records that a generation exists somewhere in the fleet or the store. */
+    void noteAnnounced(long announced) {
         holder.noteAnnounced(announced);
     }
 
-    /** Notes that another instance holds this generation with this digest; true where ours has another digest. */
-    boolean seen(long announced, String digest) {
+    /**
+     * Records that another instance holds this generation with this digest; returns true if the generation held here
+     * has the same number but another digest.
+     */
+    boolean noteAnnounced(long announced, String digest) {
         boolean contradicts = announced == holder.held().generation()
                 && !digest.equals(holder.held().head().digest());
-        // Two contents under one number are settled by a generation above both; an acceptor publishes it because it
-        // has to exceed what was seen.
+        // Two contents with the same number are resolved by a higher generation. Recording the next number makes an
+        // acceptor publish one, as it has to exceed the highest number seen.
         holder.noteAnnounced(contradicts ? announced + 1 : announced);
         if (contradicts) {
             contradictions.inc();
@@ -67,7 +73,7 @@
         return contradicts;
     }
 
-    /** Puts a generation in force where it is newer than all that is known of; the result says so. */
+    /** Activates a generation if the holder adopts it, and notifies the listeners. */
     GenerationHolder.Result adopt(long offered, String digest, Map<String, String> bodyByTeam, String source) {
         SortedMap<String, String> before = holder.held().bodyByTeam();
         GenerationHolder.Result result = holder.adopt(offered, digest, bodyByTeam);
@@ -76,7 +82,7 @@
             logApplied(adopted.tree(), before, source);
             listeners.forEach(listener -> listener.accept(adopted.tree()));
         } else if (result instanceof GenerationHolder.Contradiction) {
-            seen(offered, digest);
+            noteAnnounced(offered, digest);
         } else if (result instanceof GenerationHolder.Incomplete) {
             incomplete.inc();
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ConfigurationListener.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ConfigurationListener.java
@@ -2,7 +2,7 @@
 
 import org.marjoramswitch.kernel.settings.FleetSettings;
 
-/** Hears of each generation that comes into force here, in growing order; called by the duty's thread, must not block. */
+/** Receives each generation that becomes active, in increasing order. Called on the loop's thread; must not block. */
 @FunctionalInterface
 public interface ConfigurationListener {
     void onSettings(FleetSettings settings);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ConfigurationLoop.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ConfigurationLoop.java
@@ -14,13 +14,13 @@
 import org.marjoramswitch.kernel.model.Member;
 
 /**
- * The duty that keeps the newest accepted settings in force at this instance: one thread that reads its tasks from one
- * bounded ring. {@link SettingsPublisher} speaks with the platform's service, {@link SettingsGossip} with peers, and
- * {@link ActiveSettings} holds what is in force.
+ * Event loop that keeps the newest accepted settings active at this instance: a single thread that takes tasks from a
+ * bounded ring. {@link SettingsPublisher} communicates with the key-value store and {@link SettingsGossip} with peers;
+ * {@link ActiveSettings} holds the active generation.
  *
- * <p>When the ring is full a task is dropped and counted, and each kind is made up for: a peer's head or query comes
- * again, a lost reply of the service ends its round by timeout, a lost event of the watch makes the next round read
- * all. Only the membership view would not come again, so the newest one is kept beside the ring.
+ * <p>If the ring is full, a task is dropped and counted. Dropped tasks are recovered from: a peer's head or query is
+ * sent again, a lost reply of the store ends its round by timeout, and a lost watch event makes the next round read
+ * everything. Only the membership view would not be sent again, so the newest one is stored outside the ring.
  */
 public final class ConfigurationLoop implements AutoCloseable {
     private static final KeyValueLog LOG = KeyValueLog.of(ConfigurationLoop.class);
@@ -28,8 +28,8 @@
     private static final long MAX_WAIT_MS = 1_000;
     private static final long JOIN_MS = 5_000;
 
-    private final ActiveSettings inForce;
-    private final SettingsGossip spreader;
+    private final ActiveSettings activeSettings;
+    private final SettingsGossip gossip;
     private final SettingsPublisher publisher;
     private final ConfigurationMetrics metrics;
     private final MpscBlockingConsumerArrayQueue<LoopTask> ring = new MpscBlockingConsumerArrayQueue<>(RING_CAPACITY);
@@ -48,15 +48,15 @@
             MetricRegistry registry) {
         SplittableRandom random = new SplittableRandom(self.id().hashCode() ^ self.incarnation());
         this.metrics = ConfigurationMetrics.in(registry);
-        this.inForce = ActiveSettings.create(registry);
-        LoopContext parts = new LoopContext(self.id(), store, peers, this::offer, inForce, options, metrics);
-        this.spreader = SettingsGossip.of(parts, random.split());
-        this.publisher = SettingsPublisher.of(parts, random.split());
-        this.inForce.onAdopted(tree -> listener.onSettings(tree.settings()));
+        this.activeSettings = ActiveSettings.create(registry);
+        LoopContext context = new LoopContext(self.id(), store, peers, this::offer, activeSettings, options, metrics);
+        this.gossip = SettingsGossip.of(context, random.split());
+        this.publisher = SettingsPublisher.of(context, random.split());
+        this.activeSettings.onAdopted(tree -> listener.onSettings(tree.settings()));
         this.thread = new Thread(this::run, "configuration");
     }
 
-    /** Starts the duty; with the first view it takes its part. */
+    /** Starts the loop. It accepts settings and queries peers only after the first membership view. */
     public static ConfigurationLoop start(
             Member self,
             KeyValueStore store,
@@ -64,39 +64,38 @@
             ConfigurationListener listener,
             ConfigurationOptions options,
             MetricRegistry registry) {
-        ConfigurationLoop duty = new ConfigurationLoop(self, store, peers, listener, options, registry);
-        duty.thread.start();
-        return duty;
+        ConfigurationLoop loop = new ConfigurationLoop(self, store, peers, listener, options, registry);
+        loop.thread.start();
+        return loop;
     }
 
-    /** Takes a peer's message about settings; false for any other. */
+    /** Handles a peer's message about settings; returns false for any other message. */
     public boolean onMessage(InstanceId from, PeerMessage message) {
         if (message instanceof PeerMessage.SettingsHead head) {
-            offer(nowMs -> spreader.onHead(from, head, nowMs));
+            offer(nowMs -> gossip.onHead(from, head, nowMs));
         } else if (message instanceof PeerMessage.SettingsQuery query) {
-            offer(nowMs -> spreader.onQuery(from, query));
+            offer(nowMs -> gossip.onQuery(from, query));
         } else if (message instanceof PeerMessage.SettingsBodies bodies) {
-            offer(nowMs -> spreader.onBodies(from, bodies, nowMs));
+            offer(nowMs -> gossip.onBodies(from, bodies, nowMs));
         } else {
             return false;
         }
         return true;
     }
 
-    /** Takes a new membership view. */
     public void onView(FleetView newest) {
         newestView = newest;
         offer(nowMs -> {});
     }
 
-    /** Takes the generation that the membership announces for a peer. */
+    /** Handles a generation that the membership protocol announces for a peer. */
     public void onGenerationAnnounced(InstanceId peer, long generation) {
-        offer(nowMs -> spreader.onSeen(peer, generation, nowMs));
+        offer(nowMs -> gossip.onAnnounced(peer, generation, nowMs));
     }
 
-    /** The generation in force here; 0 while there is none and the instance is not ready. */
+    /** The active generation; 0 while there is none, in which case the instance is not ready. */
     public long generation() {
-        return inForce.generation();
+        return activeSettings.generation();
     }
 
     @Override
@@ -125,7 +124,7 @@
             } catch (InterruptedException e) {
                 closed = true;
             } catch (RuntimeException e) {
-                // One task that fails must not end the duty: the instance would keep its generation for ever.
+                // A failed task must not end the loop: the instance would never get another generation.
                 LOG.error(e, "settings_task_failed");
             }
         }
@@ -133,29 +132,29 @@
     }
 
     private void step() throws InterruptedException {
-        long dueMs = Math.min(publisher.nextMs(), spreader.nextMs());
+        long dueMs = Math.min(publisher.nextDueMs(), gossip.nextDueMs());
         long waitMs = Math.max(0, Math.min(dueMs - nowMs(), MAX_WAIT_MS));
         LoopTask task = ring.poll(waitMs, TimeUnit.MILLISECONDS);
         long nowMs = nowMs();
-        takeView(nowMs);
+        applyNewestView(nowMs);
         if (task != null) {
             task.run(nowMs);
         }
-        spreader.tick(nowMs);
+        gossip.tick(nowMs);
         publisher.tick(nowMs);
     }
 
-    private void takeView(long nowMs) {
+    private void applyNewestView(long nowMs) {
         FleetView newest = newestView;
         if (newest == null || newest.equals(view)) {
             return;
         }
         view = newest;
-        spreader.onView(newest, nowMs);
+        gossip.onView(newest, nowMs);
         publisher.onView(newest, nowMs);
     }
 
-    /** Since the duty was made, as the origin of {@link System#nanoTime} may lie anywhere. */
+    /** Milliseconds since this object was created; the origin of {@link System#nanoTime} is arbitrary. */
     private long nowMs() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ConfigurationMetrics.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ConfigurationMetrics.java
@@ -4,14 +4,14 @@
 import com.codahale.metrics.MetricRegistry;
 
 /**
- * What the duty counts.
+ * Counters of the configuration loop.
  *
- * @param rounds passes of reads over the platform's service
+ * @param rounds acceptance rounds started
  * @param publications generations published by this instance
- * @param publicationsLost publications that another acceptor's came before
- * @param callsFailed calls to the service without a usable answer
+ * @param publicationsLost publications that failed because another acceptor published first
+ * @param callsFailed calls to the key-value store that failed or whose outcome is unknown
  * @param refusalsWritten refusals written or removed by this instance
- * @param inboxFull tasks that found the duty's ring full and were dropped
+ * @param inboxFull tasks dropped because the loop's ring was full
  */
 record ConfigurationMetrics(
         Counter rounds,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ConfigurationOptions.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ConfigurationOptions.java
@@ -1,31 +1,33 @@
 package org.marjoramswitch.daemon.configuration;
 
 /**
- * How the duty paces itself.
+ * Timing and fan-out of the configuration loop.
  *
- * @param acceptorsPerDataCentre how many instances of a data centre watch the drafts
- * @param pollMs how often an acceptor asks for the head, in case its watch is silent
- * @param turnMs how long an acceptor leaves a change to each acceptor before it
- * @param repairAfterMs how long the service must lack a generation before it is taken for restored from a backup
- * @param callTimeoutMs how long a call to the service may take before its reads begin anew; above the store's timeout
- * @param retryMinMs the first pause after a call that failed; doubled with each failure
- * @param retryMaxMs the longest such pause
- * @param partners how many peers an instance tells of a new generation
- * @param announceMs how often it tells one of them what it holds
- * @param queryTimeoutMs how long a peer may take to send bodies before another is asked
+ * @param acceptorsPerDataCentre the number of instances per data centre that watch the drafts
+ * @param pollMs the mean interval at which an acceptor reads the head, in case its watch is silent
+ * @param takeoverDelayMs the delay per rank before an acceptor processes a change that higher-ranked acceptors have not
+ * @param repairAfterMs how long a known generation must be missing in the store before the store counts as restored
+ *     from a backup
+ * @param callTimeoutMs how long a store call may take before the round is restarted; longer than the store client's
+ *     own timeout
+ * @param retryMinMs the delay after the first failed round; doubled with each further failure
+ * @param retryMaxMs the maximum of that delay
+ * @param gossipPartners the number of peers that an instance selects as gossip partners
+ * @param announceMs the mean interval at which an instance announces its generation to one peer
+ * @param queryTimeoutMs the mean time that a peer may take to send bodies before another peer is queried
  */
 public record ConfigurationOptions(
         int acceptorsPerDataCentre,
         long pollMs,
-        long turnMs,
+        long takeoverDelayMs,
         long repairAfterMs,
         long callTimeoutMs,
         long retryMinMs,
         long retryMaxMs,
-        int partners,
+        int gossipPartners,
         long announceMs,
         long queryTimeoutMs) {
-    /** Within these a change is in force everywhere in well under 13 s also when a watch is silent. */
+    /** With these values a change is active everywhere in well under 13 s, even if a watch is silent. */
     public static final ConfigurationOptions DEFAULT =
             new ConfigurationOptions(2, 4_000, 250, 4_000, 8_000, 200, 4_000, 3, 3_000, 1_000);
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/DraftWatch.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/DraftWatch.java
@@ -9,32 +9,32 @@
 import org.marjoramswitch.kernel.configuration.Draft;
 import org.marjoramswitch.kernel.configuration.SettingsKeys;
 
-/** An acceptor's watch on the drafts, with the changes that it brought and that nobody has considered yet. */
+/** Watches the drafts for an acceptor and collects the changes that no generation has considered yet. */
 final class DraftWatch {
     private static final KeyValueLog LOG = KeyValueLog.of(DraftWatch.class);
 
-    private final LoopContext parts;
+    private final LoopContext context;
     private final Listener listener;
     private final Map<String, Change> pending = new TreeMap<>();
     private @Nullable AutoCloseable watch;
-    private int number;
+    private int watchNumber;
     private long revision;
     private volatile boolean overflowed;
 
-    private DraftWatch(LoopContext parts, Listener listener) {
-        this.parts = parts;
+    private DraftWatch(LoopContext context, Listener listener) {
+        this.context = context;
         this.listener = listener;
     }
 
-    static DraftWatch of(LoopContext parts, Listener listener) {
-        return new DraftWatch(parts, listener);
+    static DraftWatch of(LoopContext context, Listener listener) {
+        return new DraftWatch(context, listener);
     }
 
     boolean isOpen() {
         return watch != null;
     }
 
-    /** The revision up to which the watch is known to have brought every change. */
+    /** The revision up to which the watch is known to have delivered every change. */
     long revision() {
         return revision;
     }
@@ -43,27 +43,30 @@
         return !pending.isEmpty();
     }
 
-    /** Whether an event found the inbox full since the last call; later events would hide the gap. */
-    boolean takeOverflow() {
+    /**
+     * Whether an event has been dropped since the last call because the inbox was full. Later events do not reveal the
+     * gap.
+     */
+    boolean getAndClearOverflow() {
         boolean was = overflowed;
         overflowed = false;
         return was;
     }
 
-    /** Opens the watch, in the place of the one that is open if any. */
+    /** Opens the watch, replacing an open one. */
     void open(long afterRevision) {
         close();
-        int opened = ++number;
+        int openedNumber = ++watchNumber;
         revision = afterRevision;
-        watch = parts.store().watch(SettingsKeys.DRAFTS, afterRevision, event -> {
-            if (!parts.inbox().offer(nowMs -> on(opened, event, nowMs))) {
+        watch = context.store().watch(SettingsKeys.DRAFTS, afterRevision, event -> {
+            if (!context.inbox().offer(nowMs -> onEvent(openedNumber, event, nowMs))) {
                 overflowed = true;
             }
         });
     }
 
     void close() {
-        number++;
+        watchNumber++;
         if (watch == null) {
             return;
         }
@@ -75,13 +78,13 @@
         watch = null;
     }
 
-    /** Forgets the changes that a generation was decided with. */
-    void considered(AcceptedTree tree) {
+    /** Drops the pending changes that a generation considers. */
+    void dropConsidered(AcceptedTree tree) {
         pending.entrySet().removeIf(change -> isConsidered(change.getKey(), change.getValue(), tree));
     }
 
-    /** Forgets the changes up to a revision, at which all drafts were read. */
-    void considered(long readRevision) {
+    /** Drops the pending changes up to a revision at which all drafts were read. */
+    void dropUpTo(long readRevision) {
         pending.values().removeIf(change -> change.revision() <= readRevision);
     }
 
@@ -91,44 +94,44 @@
                 || tree.considers(draft.team(), draft.document(), change.deleted() ? 0 : change.revision());
     }
 
-    private void on(int opened, KeyValueStore.WatchEvent event, long nowMs) {
-        if (opened != number) {
+    private void onEvent(int openedNumber, KeyValueStore.WatchEvent event, long nowMs) {
+        if (openedNumber != watchNumber) {
             return;
         }
         if (event instanceof KeyValueStore.WatchEvent.Put put) {
-            changed(put.entry().key(), new Change(put.entry().modRevision(), false), nowMs);
+            addChange(put.entry().key(), new Change(put.entry().modRevision(), false), nowMs);
             return;
         }
         if (event instanceof KeyValueStore.WatchEvent.Deleted deleted) {
-            changed(deleted.key(), new Change(deleted.revision(), true), nowMs);
+            addChange(deleted.key(), new Change(deleted.revision(), true), nowMs);
             return;
         }
         close();
         listener.onBroken(nowMs);
     }
 
-    private void changed(String key, Change change, long nowMs) {
+    private void addChange(String key, Change change, long nowMs) {
         revision = Math.max(revision, change.revision());
-        if (isConsidered(key, change, parts.inForce().tree())) {
+        if (isConsidered(key, change, context.activeSettings().tree())) {
             return;
         }
         pending.put(key, change);
         listener.onChange(key + "@" + change.revision(), nowMs);
     }
 
-    /** Hears what the watch brings, on the duty's thread. */
+    /** Receives the changes that the watch delivers, on the loop's thread. */
     interface Listener {
-        /** @param change names the change, the same on every acceptor */
+        /** @param change an identifier of the change that is the same on every acceptor */
         void onChange(String change, long nowMs);
 
-        /** The watch is closed and has to be opened anew after all was read. */
+        /** The watch is closed; it must be opened again after all drafts have been read. */
         void onBroken(long nowMs);
     }
 
     /**
-     * A draft that was written or deleted.
+     * A written or deleted draft.
      *
-     * @param revision the service's revision of that write
+     * @param revision the store revision of the write or deletion
      */
     private record Change(long revision, boolean deleted) {}
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/LoopContext.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/LoopContext.java
@@ -4,12 +4,12 @@
 import org.marjoramswitch.daemon.platform.KeyValueStore;
 import org.marjoramswitch.kernel.model.InstanceId;
 
-/** What the parts of one instance's duty share. */
+/** The objects that the components of one configuration loop share. */
 record LoopContext(
         InstanceId self,
         KeyValueStore store,
         PeerSender peers,
         LoopInbox inbox,
-        ActiveSettings inForce,
+        ActiveSettings activeSettings,
         ConfigurationOptions options,
         ConfigurationMetrics metrics) {}
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/LoopInbox.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/LoopInbox.java
@@ -1,8 +1,8 @@
 package org.marjoramswitch.daemon.configuration;
 
-/** The way to the duty's thread. */
+/** Queue of tasks for the loop's thread. */
 @FunctionalInterface
 interface LoopInbox {
-    /** Takes a task unless the ring is full, which is counted; never blocks. */
+    /** Adds a task; returns false and counts it if the ring is full. Never blocks. */
     boolean offer(LoopTask task);
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/LoopTask.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/LoopTask.java
@@ -1,6 +1,6 @@
 package org.marjoramswitch.daemon.configuration;
 
-/** Something for the duty's thread to do, told the time when it comes to it. */
+/** A task for the loop's thread; receives the time at which it runs. */
 @FunctionalInterface
 interface LoopTask {
     void run(long nowMs);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/RefusalWrite.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/RefusalWrite.java
@@ -15,38 +15,38 @@
 import org.marjoramswitch.kernel.configuration.SettingsKeys;
 
 /**
- * One change of a team's refusal.
+ * A pending write or deletion of a team's refusal.
  *
- * @param refusal the refusal to write; null where the drafts are mended and it is to go
- * @param expectedRevisions of the refusal and of the team's drafts: a refusal of drafts that have been written again
- *     since would tell the team of faults that it has mended
+ * @param refusal the refusal to write; null to delete it because the drafts have been fixed
+ * @param expectedRevisions the revisions of the refusal and of the team's drafts; without the drafts' revisions the
+ *     write could report faults that the team has fixed in the meantime
  */
 record RefusalWrite(String team, @Nullable Refusal refusal, Map<String, Long> expectedRevisions) {
     private static final long ABSENT = 0;
 
-    /** The writes that make the refusals in the service those that were decided. */
+    /** Returns the writes that bring the stored refusals in line with the decision. */
     static List<RefusalWrite> plan(
-            List<KeyValueStore.Entry> present,
+            List<KeyValueStore.Entry> stored,
             SortedMap<String, List<SettingsFault>> faultsByTeam,
             SortedMap<String, SortedMap<String, Long>> draftRevisions) {
-        SortedMap<String, KeyValueStore.Entry> presentByTeam = new TreeMap<>();
-        present.forEach(entry -> presentByTeam.put(entry.key().substring(SettingsKeys.REFUSALS.length()), entry));
-        TreeSet<String> teams = new TreeSet<>(presentByTeam.keySet());
+        SortedMap<String, KeyValueStore.Entry> storedByTeam = new TreeMap<>();
+        stored.forEach(entry -> storedByTeam.put(entry.key().substring(SettingsKeys.REFUSALS.length()), entry));
+        TreeSet<String> teams = new TreeSet<>(storedByTeam.keySet());
         teams.addAll(faultsByTeam.keySet());
         List<RefusalWrite> writes = new ArrayList<>();
         for (String team : teams) {
             SortedMap<String, Long> revisions = draftRevisions.getOrDefault(team, Collections.emptySortedMap());
             List<SettingsFault> faults = faultsByTeam.get(team);
             Refusal refusal = faults == null ? null : new Refusal(revisions, faults);
-            KeyValueStore.Entry entry = presentByTeam.get(team);
-            if (!isWritten(refusal, entry)) {
+            KeyValueStore.Entry entry = storedByTeam.get(team);
+            if (!isUpToDate(refusal, entry)) {
                 writes.add(new RefusalWrite(team, refusal, expected(team, revisions, entry)));
             }
         }
         return writes;
     }
 
-    private static boolean isWritten(@Nullable Refusal refusal, KeyValueStore.@Nullable Entry entry) {
+    private static boolean isUpToDate(@Nullable Refusal refusal, KeyValueStore.@Nullable Entry entry) {
         if (refusal == null || entry == null) {
             return refusal == null && entry == null;
         }
@@ -69,7 +69,7 @@
         return refusal == null ? List.of(SettingsKeys.refusal(team)) : List.of();
     }
 
-    /** One line for each fault, or one that the team's refusal is gone. */
+    /** Logs one line per fault, or one line if the refusal was deleted. */
     void log(KeyValueLog log) {
         if (refusal == null) {
             log.info("settings_refusal_cleared", "team", team);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/RepairDelay.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/RepairDelay.java
@@ -1,15 +1,15 @@
 package org.marjoramswitch.daemon.configuration;
 
 /**
- * Measures for how long the platform's service has lacked a generation that is known to exist. Only then is the service
- * taken for restored from a backup: a read that began before another acceptor published looks the same, and so does a
- * generation that a peer holds and is about to pass on.
+ * Delays a repair until a generation that is known to exist has been missing in the key-value store for some time. A
+ * missing generation alone does not show that the store was restored from a backup: it looks the same if a read started
+ * before another acceptor published, or if a peer holds the generation and is about to send it.
  */
 final class RepairDelay {
-    private static final long NOT_LACKING = -1;
+    private static final long NOT_MISSING = -1;
 
     private final long repairAfterMs;
-    private long lackingSinceMs = NOT_LACKING;
+    private long missingSinceMs = NOT_MISSING;
 
     private RepairDelay(long repairAfterMs) {
         this.repairAfterMs = repairAfterMs;
@@ -19,15 +19,15 @@
         return new RepairDelay(repairAfterMs);
     }
 
-    /** Notes what a round has read; true where it must wait. */
-    boolean mustWait(boolean lacking, long nowMs) {
-        if (!lacking) {
-            lackingSinceMs = NOT_LACKING;
+    /** Records whether a round found a generation missing; returns true if the repair must wait. */
+    boolean mustWait(boolean missing, long nowMs) {
+        if (!missing) {
+            missingSinceMs = NOT_MISSING;
             return false;
         }
-        if (lackingSinceMs == NOT_LACKING) {
-            lackingSinceMs = nowMs;
+        if (missingSinceMs == NOT_MISSING) {
+            missingSinceMs = nowMs;
         }
-        return nowMs - lackingSinceMs < repairAfterMs;
+        return nowMs - missingSinceMs < repairAfterMs;
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/RoutedSettingsFollower.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/RoutedSettingsFollower.java
@@ -18,23 +18,24 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * Keeps the newest version of settings in force that were accepted before they reached the platform's service: one
- * document under one key. Nothing is checked against other teams' here; what stands there is in force.
+ * Keeps the newest version of the routed settings active: one document under one key of the key-value store, accepted
+ * by the operators before it is written. It is not checked for conflicts between teams here; the stored document is
+ * active as it is.
  *
- * <p>Each instance watches the key. One that the service turns away learns of a newer version from the membership's
- * datagrams and takes the document from the peer that announced it, so that the service's outage for some of the
- * instances does not leave them with revoked keys and old routes. Versions only grow: an older one, from whomever, is
- * passed over.
+ * <p>Each instance watches the key. An instance that cannot read the store learns of a newer version from membership
+ * datagrams and fetches the document from the peer that announced it, so that a partial outage of the store does not
+ * leave some instances with revoked keys and old routes. Versions only increase: an older one from any source is
+ * ignored.
  *
- * <p>The peers agree on nothing: they pass on what the service has accepted, as it stood there.
+ * <p>There is no agreement between peers: they forward the stored document unchanged.
  */
 public final class RoutedSettingsFollower implements AutoCloseable {
     private static final KeyValueLog LOG = KeyValueLog.of(RoutedSettingsFollower.class);
-    /** After it another peer may be asked. */
+    /** Time after which another peer may be queried. */
     private static final long QUERY_TIMEOUT_MS = 400;
-    /** The pause between two readings, and after one that failed; settings have to be in force within two seconds. */
+    /** Delay between two reads, and after a failed one; settings must become active within two seconds. */
     private static final long READ_PAUSE_MS = 250;
-    /** The one document's name in messages between peers. */
+    /** Name of the document in peer messages. */
     private static final String DOCUMENT = "operator";
 
     private final String key;
@@ -43,9 +44,9 @@
     private final Consumer<RoutedSettings> listener;
     private final LongSupplier clockMs;
     private @Nullable PrefixFollower follower;
-    private RoutedSettings inForce = RoutedSettings.NONE;
+    private RoutedSettings active = RoutedSettings.NONE;
     private String document = "";
-    private long askedAtMs = Long.MIN_VALUE / 2;
+    private long queriedAtMs = Long.MIN_VALUE / 2;
     private boolean unreadable;
 
     private RoutedSettingsFollower(
@@ -57,14 +58,14 @@
         this.clockMs = clockMs;
     }
 
-    /** Reads a document of the platform's own format. */
+    /** Decodes a document in the format of the platform. */
     @FunctionalInterface
     public interface Decoder {
-        /** @throws IllegalArgumentException where it cannot be read, with the reason */
+        /** @throws IllegalArgumentException if the document is invalid, with the reason */
         RoutedSettings decode(String document);
     }
 
-    /** @param listener told of each version that comes into force, in order */
+    /** @param listener receives each version that becomes active, in order */
     public static RoutedSettingsFollower start(
             KeyValueStore store,
             String key,
@@ -73,32 +74,32 @@
             Consumer<RoutedSettings> listener,
             LongSupplier clockMs,
             MetricRegistry metrics) {
-        RoutedSettingsFollower duty = new RoutedSettingsFollower(key, decoder, peers, listener, clockMs);
-        metrics.gauge("configuration.version", () -> duty::version);
-        duty.follower =
-                PrefixFollower.start(store, key, READ_PAUSE_MS, clockMs.getAsLong(), new PrefixFollower.Listener() {
+        RoutedSettingsFollower settingsFollower = new RoutedSettingsFollower(key, decoder, peers, listener, clockMs);
+        metrics.gauge("configuration.version", () -> settingsFollower::version);
+        settingsFollower.follower = PrefixFollower.start(
+                store, key, READ_PAUSE_MS, clockMs.getAsLong(), new PrefixFollower.Listener() {
                     @Override
                     public void onEntries(Collection<Entry> entries) {
-                        duty.onEntries(entries);
+                        settingsFollower.onEntries(entries);
                     }
 
                     @Override
                     public void onUnreadable(String reason) {
-                        duty.onUnreadable(reason);
+                        settingsFollower.onUnreadable(reason);
                     }
                 });
-        return duty;
+        return settingsFollower;
     }
 
-    /** The version in force, 0 where there is none. */
+    /** The active version, 0 if there is none. */
     public synchronized long version() {
-        return inForce.version();
+        return active.version();
     }
 
-    /** Takes a peer's message about settings; false for any other. */
+    /** Handles a peer's message about settings; returns false for any other message. */
     public boolean onMessage(InstanceId from, PeerMessage message) {
         if (message instanceof PeerMessage.SettingsQuery query) {
-            answer(from, query.afterGeneration());
+            reply(from, query.afterGeneration());
         } else if (message instanceof PeerMessage.SettingsBodies bodies) {
             String body = bodies.bodyByTeam().get(DOCUMENT);
             if (body != null) {
@@ -110,14 +111,14 @@
         return true;
     }
 
-    /** A peer announces that it holds this version. */
+    /** Queries the peer if it announces a newer version and no query was sent recently. */
     public void onVersionAnnounced(InstanceId peer, long version) {
         synchronized (this) {
             long nowMs = clockMs.getAsLong();
-            if (version <= inForce.version() || nowMs - askedAtMs < QUERY_TIMEOUT_MS) {
+            if (version <= active.version() || nowMs - queriedAtMs < QUERY_TIMEOUT_MS) {
                 return;
             }
-            askedAtMs = nowMs;
+            queriedAtMs = nowMs;
         }
         peers.send(peer, new PeerMessage.SettingsQuery(version()));
     }
@@ -148,11 +149,11 @@
         }
     }
 
-    private synchronized void answer(InstanceId from, long afterVersion) {
-        if (inForce.version() > afterVersion) {
+    private synchronized void reply(InstanceId from, long afterVersion) {
+        if (active.version() > afterVersion) {
             Map<String, String> bodies = new TreeMap<>();
             bodies.put(DOCUMENT, document);
-            peers.send(from, new PeerMessage.SettingsBodies(inForce.version(), "", bodies));
+            peers.send(from, new PeerMessage.SettingsBodies(active.version(), "", bodies));
         }
     }
 
@@ -163,7 +164,7 @@
         RoutedSettings decoded;
         try {
             decoded = decoder.decode(newDocument);
-        } catch (IllegalArgumentException fault) {
+        } catch (IllegalArgumentException invalid) {
             LOG.error(
                     "settings_ignored",
                     "error",
@@ -171,11 +172,11 @@
                     "source",
                     source,
                     "reason",
-                    fault);
+                    invalid);
             return;
         }
-        if (decoded.version() <= inForce.version()) {
-            LOG.info("settings_older", "version", decoded.version(), "inForce", inForce.version(), "source", source);
+        if (decoded.version() <= active.version()) {
+            LOG.info("settings_older", "version", decoded.version(), "inForce", active.version(), "source", source);
             return;
         }
         LOG.info(
@@ -183,14 +184,14 @@
                 "version",
                 decoded.version(),
                 "former",
-                inForce.version(),
+                active.version(),
                 "routes",
                 decoded.routes().size(),
                 "customers",
                 decoded.customers().size(),
                 "source",
                 source);
-        inForce = decoded;
+        active = decoded;
         document = newDocument;
         listener.accept(decoded);
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/SettingsGossip.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/SettingsGossip.java
@@ -18,97 +18,99 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * Spreads generations between instances, so that watches on the platform's service do not grow with the fleet.
+ * Distributes generations between instances by gossip, so that the number of watches on the key-value store does not
+ * grow with the fleet.
  *
- * <p>Each instance has a few partners by rendezvous hashing. Who puts a new generation in force tells its partners and
- * those that lately talked to it; whoever holds an older one asks the teller for the bodies that it lacks. Every few
- * seconds an instance also tells one of these what it holds, and who holds a newer one answers with that: so what a
- * lost message or a partition kept back arrives after all, and an instance that nobody has for a partner asks by itself.
+ * <p>Each instance selects a few partners by rendezvous hashing. An instance that activates a new generation announces
+ * it to its partners and to the peers that recently contacted it; a peer with an older generation queries the sender
+ * for the bodies that it is missing. Every few seconds an instance also announces its generation to one of these peers,
+ * which replies with its own if that is newer. This makes up for messages lost by a failure or a partition, and reaches
+ * instances that no other instance has selected as a partner.
  *
- * <p>The links between partners form a random graph in which each instance chose three others, undirected, as tellers
- * and told both speak. Such a graph is connected but for a vanishing chance, and its paths grow with the logarithm of
- * the fleet: four to six hops at 350 instances, each a round trip.
+ * <p>The partner links form a random graph in which each instance selects three others. The graph is undirected because
+ * both ends of a link send announcements. Such a graph is connected except with negligible probability, and its path
+ * lengths grow with the logarithm of the fleet size: four to six hops at 350 instances, each a round trip.
  *
- * <p>Cost for each instance: one head each few seconds; for each change some heads, one query and the bodies of the
- * changed teams once in, and out as often as others ask this instance, once on average.
+ * <p>Cost per instance: one head every few seconds. For each change some heads and one query, and the bodies of the
+ * changed teams received once and sent once on average.
  */
 final class SettingsGossip {
     /**
-     * Room for all that chose this instance as a partner, three on average. Where one of them was pushed out and nobody
-     * chose it, it would hear of a change only when it asks by itself: seconds instead of milliseconds.
+     * Enough for all instances that selected this one as a partner, three on average. An instance that is evicted and
+     * that no other selected receives a change only by its own announcements, after seconds instead of milliseconds.
      */
-    private static final int MAX_RECENT = 24;
+    private static final int MAX_RECENT_PEERS = 24;
 
     private final InstanceId self;
-    private final ActiveSettings inForce;
+    private final ActiveSettings activeSettings;
     private final PeerSender peers;
     private final ConfigurationOptions options;
     private final SplittableRandom random;
-    private final Set<InstanceId> recent = new LinkedHashSet<>();
+    private final Set<InstanceId> recentPeers = new LinkedHashSet<>();
     private final Map<InstanceId, Long> generationByPeer = new LinkedHashMap<>();
     private List<InstanceId> partners = List.of();
     private List<InstanceId> acceptors = List.of();
     private @Nullable Query query;
     private long announceAtMs;
 
-    private SettingsGossip(LoopContext parts, SplittableRandom random) {
-        this.self = parts.self();
-        this.inForce = parts.inForce();
-        this.peers = parts.peers();
-        this.options = parts.options();
+    private SettingsGossip(LoopContext context, SplittableRandom random) {
+        this.self = context.self();
+        this.activeSettings = context.activeSettings();
+        this.peers = context.peers();
+        this.options = context.options();
         this.random = random;
     }
 
-    static SettingsGossip of(LoopContext parts, SplittableRandom random) {
-        SettingsGossip spreader = new SettingsGossip(parts, random);
-        parts.inForce().onAdopted(tree -> spreader.announce());
-        return spreader;
+    static SettingsGossip of(LoopContext context, SplittableRandom random) {
+        SettingsGossip gossip = new SettingsGossip(context, random);
+        context.activeSettings().onAdopted(tree -> gossip.announce());
+        return gossip;
     }
 
     void onView(FleetView view, long nowMs) {
         List<InstanceId> others =
                 view.members().keySet().stream().filter(id -> !id.equals(self)).toList();
         partners = Rendezvous.rank(self.toString(), others).stream()
-                .limit(options.partners())
+                .limit(options.gossipPartners())
                 .toList();
         acceptors = AcceptorRoles.acceptors(view, options.acceptorsPerDataCentre());
-        recent.retainAll(view.members().keySet());
+        recentPeers.retainAll(view.members().keySet());
         generationByPeer.keySet().retainAll(view.members().keySet());
-        if (inForce.generation() == 0) {
-            ask(nowMs);
+        if (activeSettings.generation() == 0) {
+            queryIfBehind(nowMs);
         }
     }
 
-    /** The membership says that a peer holds a generation. */
-    void onSeen(InstanceId peer, long generation, long nowMs) {
+    /** Handles a generation that the membership protocol announces for a peer. */
+    void onAnnounced(InstanceId peer, long generation, long nowMs) {
         generationByPeer.merge(peer, generation, Math::max);
-        inForce.seen(generation);
-        ask(nowMs);
+        activeSettings.noteAnnounced(generation);
+        queryIfBehind(nowMs);
     }
 
     void onHead(InstanceId from, PeerMessage.SettingsHead head, long nowMs) {
-        remember(from);
-        long held = inForce.generation();
+        addRecentPeer(from);
+        long held = activeSettings.generation();
         if (head.generation() < held) {
             peers.send(from, head());
             return;
         }
-        if (inForce.seen(head.generation(), head.digest()) && !acceptors.contains(self)) {
-            // Only an acceptor can settle it, and it may never talk to one that holds the other content.
+        if (activeSettings.noteAnnounced(head.generation(), head.digest()) && !acceptors.contains(self)) {
+            // Only an acceptor can resolve the contradiction, and it may never contact a peer with the other content.
             acceptors.forEach(acceptor -> peers.send(acceptor, head));
         }
         generationByPeer.merge(from, head.generation(), Math::max);
-        ask(nowMs);
+        queryIfBehind(nowMs);
     }
 
-    void onQuery(InstanceId from, PeerMessage.SettingsQuery asked) {
-        remember(from);
-        AcceptedTree tree = inForce.tree();
-        if (tree.generation() <= asked.afterGeneration()) {
+    void onQuery(InstanceId from, PeerMessage.SettingsQuery received) {
+        addRecentPeer(from);
+        AcceptedTree tree = activeSettings.tree();
+        if (tree.generation() <= received.afterGeneration()) {
             return;
         }
         Map<String, String> bodies =
-                asked.afterGeneration() == 0 ? tree.bodyByTeam() : tree.bodiesAfter(asked.afterGeneration());
+                received.afterGeneration() == 0 ? tree.bodyByTeam() : tree.bodiesAfter(received.afterGeneration());
         peers.send(
                 from,
                 new PeerMessage.SettingsBodies(tree.generation(), tree.head().digest(), bodies));
@@ -116,53 +118,56 @@
 
     void onBodies(InstanceId from, PeerMessage.SettingsBodies bodies, long nowMs) {
         generationByPeer.merge(from, bodies.generation(), Math::max);
-        boolean asked = query != null && query.peer().equals(from);
+        boolean answersQuery = query != null && query.peer().equals(from);
         GenerationHolder.Result result =
-                inForce.adopt(bodies.generation(), bodies.digest(), bodies.bodyByTeam(), from.toString());
-        if (!asked) {
+                activeSettings.adopt(bodies.generation(), bodies.digest(), bodies.bodyByTeam(), from.toString());
+        if (!answersQuery) {
             return;
         }
-        boolean whole = query != null && query.afterGeneration() == 0;
+        boolean queriedAll = query != null && query.afterGeneration() == 0;
         query = null;
-        if (result instanceof GenerationHolder.Incomplete && !whole) {
-            // The peer's bodies since our generation do not fit ours: a team went away, or the two sides of a restored
-            // service differ. The whole of it fits in any case.
+        if (result instanceof GenerationHolder.Incomplete && !queriedAll) {
+            // The peer's changed bodies do not match the held ones: a team was removed, or the contents differ after a
+            // restore of the store. The complete set of bodies matches in any case.
             send(from, 0, nowMs);
             return;
         }
-        ask(nowMs);
+        queryIfBehind(nowMs);
     }
 
     void tick(long nowMs) {
         if (query != null && query.timeoutAtMs() <= nowMs) {
             generationByPeer.remove(query.peer());
             query = null;
-            ask(nowMs);
+            queryIfBehind(nowMs);
         }
         if (nowMs < announceAtMs) {
             return;
         }
         announceAtMs = nowMs + jittered(options.announceMs());
-        ask(nowMs);
-        List<InstanceId> told = told();
-        if (!told.isEmpty()) {
-            peers.send(told.get(random.nextInt(told.size())), head());
+        queryIfBehind(nowMs);
+        List<InstanceId> gossipPeers = gossipPeers();
+        if (!gossipPeers.isEmpty()) {
+            peers.send(gossipPeers.get(random.nextInt(gossipPeers.size())), head());
         }
     }
 
-    long nextMs() {
+    long nextDueMs() {
         return query == null ? announceAtMs : Math.min(announceAtMs, query.timeoutAtMs());
     }
 
-    /** Asks for what is newer, where something is and no peer is being asked: one that is known to hold it, or any. */
-    private void ask(long nowMs) {
-        long held = inForce.generation();
-        if (query != null || (held > 0 && inForce.highestSeen() <= held)) {
+    /**
+     * Sends a query if this instance has no settings or a newer generation is known, and no query is outstanding. The
+     * peer is one that is known to hold a newer generation, or else any gossip peer.
+     */
+    private void queryIfBehind(long nowMs) {
+        long held = activeSettings.generation();
+        if (query != null || (held > 0 && activeSettings.highestSeen() <= held)) {
             return;
         }
         List<InstanceId> holders = new ArrayList<>(generationByPeer.keySet());
         holders.removeIf(peer -> generationByPeer.getOrDefault(peer, 0L) <= held);
-        List<InstanceId> candidates = holders.isEmpty() ? told() : holders;
+        List<InstanceId> candidates = holders.isEmpty() ? gossipPeers() : holders;
         if (!candidates.isEmpty()) {
             send(candidates.get(random.nextInt(candidates.size())), held, nowMs);
         }
@@ -174,33 +179,33 @@
     }
 
     private void announce() {
-        told().forEach(peer -> peers.send(peer, head()));
+        gossipPeers().forEach(peer -> peers.send(peer, head()));
     }
 
-    /** Between a half and one and a half of a time, so that instances started together do not ask in step. */
+    /** A random time between half and one and a half times the given one; desynchronises instances started together. */
     private long jittered(long timeMs) {
         return timeMs / 2 + random.nextLong(timeMs);
     }
 
     private PeerMessage.SettingsHead head() {
-        AcceptedTree tree = inForce.tree();
+        AcceptedTree tree = activeSettings.tree();
         return new PeerMessage.SettingsHead(tree.generation(), tree.head().digest());
     }
 
-    private List<InstanceId> told() {
-        Set<InstanceId> told = new LinkedHashSet<>(partners);
-        told.addAll(recent);
-        return List.copyOf(told);
+    private List<InstanceId> gossipPeers() {
+        Set<InstanceId> gossipPeers = new LinkedHashSet<>(partners);
+        gossipPeers.addAll(recentPeers);
+        return List.copyOf(gossipPeers);
     }
 
-    private void remember(InstanceId peer) {
-        recent.remove(peer);
-        recent.add(peer);
-        if (recent.size() > MAX_RECENT) {
-            recent.remove(recent.iterator().next());
+    private void addRecentPeer(InstanceId peer) {
+        recentPeers.remove(peer);
+        recentPeers.add(peer);
+        if (recentPeers.size() > MAX_RECENT_PEERS) {
+            recentPeers.remove(recentPeers.iterator().next());
         }
     }
 
-    /** The one query that is outstanding. */
+    /** The outstanding query. */
     private record Query(InstanceId peer, long afterGeneration, long timeoutAtMs) {}
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/SettingsPublisher.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/SettingsPublisher.java
@@ -14,27 +14,28 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * Decides when this instance reads the platform's service.
+ * Schedules this instance's rounds against the key-value store.
  *
- * <p>An acceptor watches the drafts. For each change the acceptors take turns: the first one by a hash of the change
- * begins a round at once, each further one a little later, and only if no generation that considers the change has
- * reached it by then. So a change normally costs the service one round, however many acceptors there are, and when the
- * first ones are down or paused it costs some hundred milliseconds more.
+ * <p>An acceptor watches the drafts. For each change the acceptors are ranked by a hash of the change: the first starts
+ * a round at once, each further one a little later and only if it has not received a generation that considers the
+ * change by then. So a change normally costs the store one round however many acceptors there are, and some hundred
+ * milliseconds more if the first acceptors are down or paused.
  *
- * <p>A watch may fall silent and a service may be restored from a backup, after which a watch from a revision that is
- * still to come stays silent for long. So an acceptor asks for the head every few seconds, which also tells it the
- * service's revision: a lower one than before, or a head that does not fit what is held, begins a round; a higher one
- * without a word from the watch opens the watch anew from the last revision that it is known to cover.
+ * <p>A watch may become silent without an error. It also stays silent for a long time if the store is restored from a
+ * backup and the watch waits for a revision that has not been reached again. So an acceptor polls the head every few
+ * seconds, which also returns the store's revision. A lower revision than before, or a head that does not match the
+ * held generation, starts a round. A higher revision without an event from the watch re-opens the watch from the last
+ * revision that it is known to cover.
  *
- * <p>An instance that holds nothing yet reads what is accepted even if it is no acceptor, until it has something from
- * here or from a peer.
+ * <p>An instance without settings reads the accepted ones even if it is not an acceptor, until it has received settings
+ * from the store or from a peer.
  */
 final class SettingsPublisher implements DraftWatch.Listener {
     private static final KeyValueLog LOG = KeyValueLog.of(SettingsPublisher.class);
     private static final long NEVER = Long.MAX_VALUE;
     private static final int MAX_DOUBLINGS = 10;
 
-    private final LoopContext parts;
+    private final LoopContext context;
     private final StoreCalls calls;
     private final SplittableRandom random;
     private final RepairDelay repairDelay;
@@ -43,29 +44,29 @@
     private boolean acceptor;
     private @Nullable AcceptanceRound round;
     private long readAtMs;
-    private long turnAtMs = NEVER;
+    private long takeoverAtMs = NEVER;
     private long pollAtMs = NEVER;
     private int failures;
     private long knownRevision;
     private long headRevision;
 
-    private SettingsPublisher(LoopContext parts, SplittableRandom random) {
-        this.parts = parts;
-        this.calls = StoreCalls.of(parts.inbox());
+    private SettingsPublisher(LoopContext context, SplittableRandom random) {
+        this.context = context;
+        this.calls = StoreCalls.of(context.inbox());
         this.random = random;
-        this.repairDelay = RepairDelay.of(parts.options().repairAfterMs());
-        this.watch = DraftWatch.of(parts, this);
+        this.repairDelay = RepairDelay.of(context.options().repairAfterMs());
+        this.watch = DraftWatch.of(context, this);
     }
 
-    static SettingsPublisher of(LoopContext parts, SplittableRandom random) {
-        SettingsPublisher publisher = new SettingsPublisher(parts, random);
-        parts.inForce().onAdopted(publisher::onAdopted);
+    static SettingsPublisher of(LoopContext context, SplittableRandom random) {
+        SettingsPublisher publisher = new SettingsPublisher(context, random);
+        context.activeSettings().onAdopted(publisher::onAdopted);
         return publisher;
     }
 
     void onView(FleetView view, long nowMs) {
-        acceptors = AcceptorRoles.acceptors(view, parts.options().acceptorsPerDataCentre());
-        boolean accepts = acceptors.contains(parts.self());
+        acceptors = AcceptorRoles.acceptors(view, context.options().acceptorsPerDataCentre());
+        boolean accepts = acceptors.contains(context.self());
         if (accepts == acceptor) {
             return;
         }
@@ -78,20 +79,21 @@
         }
         watch.close();
         pollAtMs = NEVER;
-        turnAtMs = NEVER;
-        readAtMs = holdsNothing() ? nowMs : NEVER;
+        takeoverAtMs = NEVER;
+        readAtMs = hasNoSettings() ? nowMs : NEVER;
     }
 
     void tick(long nowMs) {
-        if (watch.takeOverflow()) {
+        if (watch.getAndClearOverflow()) {
             readAtMs = nowMs;
         }
-        if (round != null && nowMs - round.progressMs() >= parts.options().callTimeoutMs()) {
-            // The reply found the inbox full: the store's own timeout is shorter, so its call has ended long ago.
+        if (round != null && nowMs - round.progressMs() >= context.options().callTimeoutMs()) {
+            // The reply was dropped because the inbox was full: the store client's own timeout is shorter, so the call
+            // has already ended.
             round.abandon();
             onRoundEnded(AcceptanceRound.Result.FAILED, nowMs);
         }
-        if (round == null && nowMs >= Math.min(readAtMs, turnAtMs)) {
+        if (round == null && nowMs >= Math.min(readAtMs, takeoverAtMs)) {
             startRound(nowMs);
         }
         if (nowMs >= pollAtMs) {
@@ -99,10 +101,10 @@
         }
     }
 
-    long nextMs() {
+    long nextDueMs() {
         long roundMs = round == null
-                ? Math.min(readAtMs, turnAtMs)
-                : round.progressMs() + parts.options().callTimeoutMs();
+                ? Math.min(readAtMs, takeoverAtMs)
+                : round.progressMs() + context.options().callTimeoutMs();
         return Math.min(roundMs, pollAtMs);
     }
 
@@ -115,28 +117,28 @@
 
     @Override
     public void onChange(String change, long nowMs) {
-        int rank = AcceptorRoles.rank(acceptors, parts.self(), change);
-        turnAtMs = Math.min(turnAtMs, nowMs + rank * parts.options().turnMs());
+        int rank = AcceptorRoles.rank(acceptors, context.self(), change);
+        takeoverAtMs = Math.min(takeoverAtMs, nowMs + rank * context.options().takeoverDelayMs());
     }
 
     @Override
     public void onBroken(long nowMs) {
-        // The round's end opens the watch anew, from the revision that the round has read.
+        // The end of the round re-opens the watch from the revision that the round has read.
         readAtMs = Math.min(readAtMs, nowMs + retryDelayMs());
     }
 
     private void startRound(long nowMs) {
-        // Should the start itself fail, the next attempt is made after a while and not in the next step.
-        readAtMs = nowMs + parts.options().callTimeoutMs();
-        turnAtMs = NEVER;
-        round = AcceptanceRound.start(parts, calls, repairDelay, acceptor, this::onRoundEnded, nowMs);
+        // If the start throws an exception, the next attempt waits for this time instead of following immediately.
+        readAtMs = nowMs + context.options().callTimeoutMs();
+        takeoverAtMs = NEVER;
+        round = AcceptanceRound.start(context, calls, repairDelay, acceptor, this::onRoundEnded, nowMs);
         readAtMs = NEVER;
     }
 
     private void onRoundEnded(AcceptanceRound.Result result, long nowMs) {
         AcceptanceRound ended = round;
         round = null;
-        if (!acceptor && !holdsNothing()) {
+        if (!acceptor && !hasNoSettings()) {
             return;
         }
         if (result != AcceptanceRound.Result.DONE || ended == null) {
@@ -146,11 +148,11 @@
         }
         failures = 0;
         if (!acceptor) {
-            readAtMs = nowMs + parts.options().retryMaxMs();
+            readAtMs = nowMs + context.options().retryMaxMs();
             return;
         }
-        if (!ended.accepts()) {
-            // The role came while the round ran, which therefore read no drafts.
+        if (!ended.readsDrafts()) {
+            // This instance became an acceptor during the round, which therefore read no drafts.
             readAtMs = nowMs;
             return;
         }
@@ -160,36 +162,38 @@
     private void onDraftsRead(AcceptanceRound ended) {
         headRevision = ended.headRevision();
         knownRevision = ended.draftsRevision();
-        watch.considered(knownRevision);
-        forgetTurnWithoutChanges();
+        watch.dropUpTo(knownRevision);
+        clearTakeoverIfNothingPending();
         if (!watch.isOpen()) {
             watch.open(knownRevision);
         }
     }
 
     private void onAdopted(AcceptedTree tree) {
-        watch.considered(tree);
-        forgetTurnWithoutChanges();
+        watch.dropConsidered(tree);
+        clearTakeoverIfNothingPending();
         if (!acceptor) {
             readAtMs = NEVER;
         }
     }
 
-    private void forgetTurnWithoutChanges() {
+    private void clearTakeoverIfNothingPending() {
         if (!watch.hasPending()) {
-            turnAtMs = NEVER;
+            takeoverAtMs = NEVER;
         }
     }
 
     private void poll(long nowMs) {
         pollAtMs = nowMs + pollDelayMs();
-        // A round may move the known revision on before this call's answer, which is then no sign of a restored
-        // service.
+        // A round may advance the known revision before this call's reply arrives. A reply with a revision below the
+        // advanced one does not indicate a restored store, so the revision known at this point is used.
         long knownBefore = knownRevision;
-        calls.then(parts.store().get(SettingsKeys.HEAD), (result, replyMs) -> onPolled(result, knownBefore, replyMs));
+        calls.then(
+                context.store().get(SettingsKeys.HEAD),
+                (result, replyMs) -> onHeadPolled(result, knownBefore, replyMs));
     }
 
-    private void onPolled(KeyValueResult<KeyValueStore.@Nullable Entry> result, long knownBefore, long nowMs) {
+    private void onHeadPolled(KeyValueResult<KeyValueStore.@Nullable Entry> result, long knownBefore, long nowMs) {
         if (!acceptor || !(result instanceof KeyValueResult.Answered<KeyValueStore.@Nullable Entry> answered)) {
             return;
         }
@@ -200,8 +204,8 @@
             return;
         }
         checkHead(answered.value(), nowMs);
-        // The service has moved on, by a draft or by anything else, and the watch has not brought a change as new as
-        // that. It may be right or silent, which looks the same; a new one brings what the old one may have missed.
+        // The store's revision has increased, by a draft or by any other write, and the watch has delivered no change
+        // as new as that. A working watch and a silent one look the same here; a new watch delivers what was missed.
         if (answered.revision() > Math.max(knownRevision, watch.revision()) && watch.isOpen()) {
             watch.open(watch.revision());
         }
@@ -212,9 +216,9 @@
         if (round != null) {
             return;
         }
-        AcceptedTree held = parts.inForce().tree();
-        if (parts.inForce().highestSeen() > held.generation()) {
-            // Peers know of a generation that none of them passes on; a round settles whether the service still has it.
+        AcceptedTree held = context.activeSettings().tree();
+        if (context.activeSettings().highestSeen() > held.generation()) {
+            // A generation was announced that no peer has delivered; a round determines whether the store still has it.
             readAtMs = Math.min(readAtMs, nowMs);
         }
         long revision = entry == null ? 0 : entry.modRevision();
@@ -227,23 +231,23 @@
             return;
         }
         if (head != null) {
-            parts.inForce().seen(head.generation());
+            context.activeSettings().noteAnnounced(head.generation());
         }
         readAtMs = Math.min(readAtMs, nowMs);
     }
 
-    private boolean holdsNothing() {
-        return parts.inForce().generation() == 0;
+    private boolean hasNoSettings() {
+        return context.activeSettings().generation() == 0;
     }
 
     private long pollDelayMs() {
-        long pollMs = parts.options().pollMs();
+        long pollMs = context.options().pollMs();
         return pollMs * 3 / 4 + random.nextLong(pollMs / 2);
     }
 
     private long retryDelayMs() {
-        long doubledMs = parts.options().retryMinMs() << Math.max(0, failures - 1);
-        long delayMs = Math.min(parts.options().retryMaxMs(), doubledMs);
+        long doubledMs = context.options().retryMinMs() << Math.max(0, failures - 1);
+        long delayMs = Math.min(context.options().retryMaxMs(), doubledMs);
         return delayMs / 2 + random.nextLong(delayMs);
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/StoreCalls.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/StoreCalls.java
@@ -4,7 +4,7 @@
 import org.jspecify.annotations.Nullable;
 import org.marjoramswitch.daemon.platform.KeyValueResult;
 
-/** Brings the results of calls to the platform's service back to the duty's thread. */
+/** Delivers the results of key-value store calls to the loop's thread. */
 final class StoreCalls {
     private final LoopInbox inbox;
 
@@ -16,7 +16,7 @@
         return new StoreCalls(inbox);
     }
 
-    /** Where the inbox is full the result is lost; whoever waits for it has a deadline of its own. */
+    /** Calls {@code reply} on the loop's thread. If the inbox is full the result is lost, so callers need a timeout. */
     <T extends @Nullable Object> void then(CompletableFuture<KeyValueResult<T>> call, Reply<T> reply) {
         var unused =
                 call.whenComplete((result, error) -> inbox.offer(nowMs -> reply.on(resultOf(result, error), nowMs)));
@@ -27,7 +27,7 @@
         return result == null ? new KeyValueResult.OutcomeUnknown<>(String.valueOf(error)) : result;
     }
 
-    /** What to do with a result. */
+    /** Handles the result of a store call. */
     @FunctionalInterface
     interface Reply<T extends @Nullable Object> {
         void on(KeyValueResult<T> result, long nowMs);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/package-info.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/package-info.java
@@ -1,4 +1,4 @@
-/** Keeps the newest accepted settings in force: accepts drafts where it is this instance's turn, learns from peers. */
+/** Keeps the newest accepted settings active: accepts drafts on acceptor instances and gossips with peers. */
 @NullMarked
 package org.marjoramswitch.daemon.configuration;
 
--- a/daemon/src/test/java/org/marjoramswitch/daemon/configuration/ConfigurationLoopTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/configuration/ConfigurationLoopTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aChangeComesIntoForceEverywhereByOnePublication() {
+    void changeBecomesActiveEverywhereWithOnePublication() {
         store.write(KEY, weight(2));
         fleet.awaitWeight("acme", 2);
         assertEquals(1, fleet.count("configuration.publications"));
@@ -38,9 +38,9 @@
     }
 
     @Test
-    void ofTwoOperatorsOnOnePathOneIsToldThatItLost() {
-        // Two operators read the same draft and write over it. The second gets no from the compare-and-swap, reads the
-        // first one's text and decides anew; what is in force is the first one's change, not a mixture.
+    void secondOfTwoConcurrentWritesFails() {
+        // Two operators read the same draft and overwrite it. The second compare-and-swap must fail, so that the first
+        // change is active and the second operator reads it before writing again.
         store.write(KEY, weight(2));
         fleet.awaitWeight("acme", 2);
         long read = entry(KEY).modRevision();
@@ -52,10 +52,10 @@
     }
 
     @Test
-    void aPublicationWhoseAnswerWasLostIsFoundByReading() {
-        // The acceptance takes effect, but its answer is lost, so the acceptor cannot know. It reads again, finds its
-        // own generation and publishes no second one.
-        store.loseNextAnswer();
+    void publicationWithLostResponseIsFoundByReading() {
+        // The publication takes effect but its response is lost, so its outcome is unknown to the acceptor. The
+        // acceptor must read again, find its own generation and not publish a second one.
+        store.loseNextResponse();
         store.write(KEY, weight(2));
         fleet.awaitWeight("acme", 2);
         FakeFleet.await("the failed call", () -> fleet.count("configuration.calls_failed") == 1);
@@ -64,41 +64,42 @@
     }
 
     @Test
-    void anOutageDelaysAChangeAndARestartDuringItLearnsFromPeers() {
-        // The platform's service goes down before a change is accepted. Serving goes on with the old settings; an
-        // instance that restarts empty in the meantime gets them from its peers; the change enters after the outage.
+    void storeOutageDelaysChangeAndRestartedInstanceLearnsFromPeers() {
+        // The key-value store goes down before a change is accepted. The old settings must stay active, an instance
+        // that restarts without settings must get them from its peers, and the change must be accepted after the
+        // outage.
         store.write(KEY, weight(2));
         fleet.awaitWeight("acme", 2);
         store.setDown(true);
         store.write(KEY, weight(3));
         fleet.restart(4);
         FakeFleet.await("settings from peers", () -> fleet.hasWeight(4, "acme", 2));
-        assertEquals(1, fleet.duty(0).generation());
+        assertEquals(1, fleet.loop(0).generation());
         store.setDown(false);
         fleet.awaitWeight("acme", 3);
-        assertTrue(fleet.neverWentBack());
+        assertTrue(fleet.generationsOnlyIncreased());
     }
 
     @Test
-    void withNeitherServiceNorPeersAnInstanceIsNotReady() {
-        // An instance restarts empty while the platform's service is down and all its links are cut. It has nothing to
-        // serve by and says so; it is ready as soon as one of the two is back.
+    void instanceWithoutStoreAndPeersIsNotReady() {
+        // An instance restarts without settings while the key-value store is down and all its peer links are cut. It
+        // must report generation 0 (not ready) until one of the two is available again.
         store.write(KEY, weight(2));
         fleet.awaitWeight("acme", 2);
         store.setDown(true);
-        fleet.cutOff(4, true);
+        fleet.setPartitioned(4, true);
         long calls = store.calls();
         fleet.restart(4);
         FakeFleet.await("some attempts", () -> store.calls() > calls + 50);
-        assertEquals(0, fleet.duty(4).generation());
-        fleet.cutOff(4, false);
-        FakeFleet.await("settings from peers", () -> fleet.duty(4).generation() == 1);
+        assertEquals(0, fleet.loop(4).generation());
+        fleet.setPartitioned(4, false);
+        FakeFleet.await("settings from peers", () -> fleet.loop(4).generation() == 1);
     }
 
     @Test
-    void aLatePublicationOfAStaleAcceptorChangesNothing() {
-        // An acceptor decides on a draft of weight 2 and is paused on its write. Others publish, and the operator moves
-        // on to weight 3. When the old write arrives at last it fails on the head's revision; nobody sees weight 2.
+    void latePublicationOfStaleAcceptorFails() {
+        // An acceptor decides on a draft with weight 2 and is paused during its write. Meanwhile the draft changes to
+        // weight 3 and another acceptor publishes it. The delayed write must fail on the head's revision.
         store.holdNextSwap();
         store.write(KEY, weight(2));
         FakeFleet.await("a held write", store::holdsSwap);
@@ -111,27 +112,27 @@
     }
 
     @Test
-    void aPeerThatWasCutOffTakesTheNewerGenerationAndGivesAwayNoOlderOne() {
-        // An instance loses its links, and the platform's service is away when they heal: it still offers the old
-        // generation to its peers, and must take theirs instead of bringing the old one back.
+    void partitionedPeersAdoptNewerGenerationAndRevertNone() {
+        // Some instances are partitioned, and the key-value store is down when the links recover. They still announce
+        // the old generation, but must adopt the newer one of their peers and not revert them.
         store.write(KEY, weight(2));
         fleet.awaitWeight("acme", 2);
-        for (int cut = 6; cut < INSTANCES; cut++) {
-            fleet.cutOff(cut, true);
+        for (int partitioned = 6; partitioned < INSTANCES; partitioned++) {
+            fleet.setPartitioned(partitioned, true);
         }
         store.write(KEY, weight(3));
-        FakeFleet.await("the larger part", () -> fleet.hasWeight(0, "acme", 3) && fleet.hasWeight(5, "acme", 3));
+        FakeFleet.await("the majority", () -> fleet.hasWeight(0, "acme", 3) && fleet.hasWeight(5, "acme", 3));
         store.setDown(true);
         fleet.restart(8);
-        for (int cut = 6; cut < INSTANCES; cut++) {
-            fleet.cutOff(cut, false);
+        for (int partitioned = 6; partitioned < INSTANCES; partitioned++) {
+            fleet.setPartitioned(partitioned, false);
         }
         fleet.awaitWeight("acme", 3);
-        assertTrue(fleet.neverWentBack());
+        assertTrue(fleet.generationsOnlyIncreased());
     }
 
     @Test
-    void aRefusalIsWrittenForItsTeamAndClearedWhenMended() {
+    void refusalIsWrittenAndDeletedOnceFixed() {
         store.write(KEY, "{'customers':{'acme':{'weight':0,'apiKeysSha256':[]}}}");
         FakeFleet.await("the refusal", () -> store.entry(SettingsKeys.refusal("floor")) != null);
         Refusal refusal =
@@ -141,13 +142,13 @@
         assertEquals("/customers/acme/weight", refusal.faults().get(0).pointer());
         store.write(KEY, weight(2));
         fleet.awaitWeight("acme", 2);
-        FakeFleet.await("its end", () -> store.entry(SettingsKeys.refusal("floor")) == null);
+        FakeFleet.await("the refusal's removal", () -> store.entry(SettingsKeys.refusal("floor")) == null);
     }
 
     @Test
-    void silentWatchesDelayAChangeByNoMoreThanThePoll() {
-        // Something between the instances and the platform's service forgets all waiting connections, without a word to
-        // either end. The next poll sees that the service has moved on, and the watch is opened anew.
+    void pollDetectsChangeMissedBySilentWatches() {
+        // A middlebox between the instances and the key-value store drops all idle connections without notifying either
+        // end. The next poll must detect that the store's revision has increased and re-open the watch.
         store.write(KEY, weight(2));
         fleet.awaitWeight("acme", 2);
         store.silenceOpenWatches();
@@ -156,9 +157,10 @@
     }
 
     @Test
-    void aServiceRestoredFromABackupRevertsNoInstance() {
-        // The platform's service comes back from a backup taken before the last change, drafts included. The fleet
-        // stays at the newer weight under a higher number, the team is told, and its next write is in force.
+    void storeRestoredFromBackupRevertsNoInstance() {
+        // The key-value store is restored from a backup taken before the last change, including the drafts. The newer
+        // weight must stay active under a higher generation, the team must be notified, and its next write must take
+        // effect.
         store.write(KEY, weight(2));
         fleet.awaitWeight("acme", 2);
         Map<String, KeyValueStore.Entry> backup = store.snapshot();
@@ -170,22 +172,22 @@
         fleet.awaitWeight("acme", 3);
         store.write(KEY, weight(5));
         fleet.awaitWeight("acme", 5);
-        assertTrue(fleet.neverWentBack());
+        assertTrue(fleet.generationsOnlyIncreased());
     }
 
     @Test
-    void twoContentsUnderOneNumberAreSettledByAHigherOne() {
-        // Two acceptors published one number with different contents, each to its own copy of a service that was
-        // restored in between. An instance that is no acceptor hears of the other content; an acceptor is told and
-        // publishes above both, so that the two sides do not stay apart until the next change.
+    void contradictingGenerationsAreResolvedByHigherOne() {
+        // Two acceptors published the same generation number with different contents, with a restore of the store in
+        // between. An instance that is not an acceptor receives the other content's head. It must notify an acceptor,
+        // which publishes a higher generation; otherwise the instances would differ until the next change.
         store.write(KEY, weight(2));
         fleet.awaitWeight("acme", 2);
         int plain = IntStream.range(0, INSTANCES)
                 .filter(number -> !fleet.isAcceptor(number))
                 .findFirst()
                 .orElseThrow();
-        fleet.duty(plain).onMessage(InstanceId.of("entry-other"), new PeerMessage.SettingsHead(1, "ab".repeat(32)));
-        FakeFleet.await("a higher number", () -> fleet.duty(plain).generation() > 1);
+        fleet.loop(plain).onMessage(InstanceId.of("entry-other"), new PeerMessage.SettingsHead(1, "ab".repeat(32)));
+        FakeFleet.await("a higher generation", () -> fleet.loop(plain).generation() > 1);
         assertTrue(fleet.hasWeight(plain, "acme", 2));
     }
 
--- a/daemon/src/test/java/org/marjoramswitch/daemon/configuration/ConfigurationOverGatewayTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/configuration/ConfigurationOverGatewayTest.java
@@ -9,10 +9,10 @@
 class ConfigurationOverGatewayTest {
 
     @Test
-    void changesComeIntoForceThroughLostAnswersSilentWatchesAndAnOutage() throws Exception {
-        // Over sockets: the answer of the acceptance is lost after it took effect; then all waiting watches go silent
-        // for good; then the service takes calls in and never answers, and an instance restarts empty meanwhile. Each
-        // change is in force everywhere in the end, and no instance ever goes back.
+    void changesBecomeActiveDespiteLostResponsesSilentWatchesAndOutage() throws Exception {
+        // Over sockets: the response to a publication is lost after it took effect. Then all open watches become silent
+        // permanently. Then the store accepts calls without responding, and an instance restarts without settings. Each
+        // change must become active everywhere, and no instance may return to an older generation.
         try (GatewayFleet fleet = GatewayFleet.start(ConfigurationOptions.DEFAULT, 9)) {
             fleet.gateway.loseAnswers(1);
             fleet.put(2);
@@ -26,7 +26,7 @@
             FakeFleet.await("settings from peers", () -> fleet.instances.hasWeight(5, "acme", 3));
             fleet.gateway.recover();
             fleet.instances.awaitWeight("acme", 4);
-            assertTrue(fleet.instances.neverWentBack());
+            assertTrue(fleet.instances.generationsOnlyIncreased());
         }
     }
 }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/configuration/ConfigurationReport.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/configuration/ConfigurationReport.java
@@ -9,8 +9,8 @@
 import org.marjoramswitch.testkit.platform.CallKind;
 
 /**
- * Measures and asserts nothing, so the build does not run it; {@code docs/CONFIGURATION.md} names the command. It
- * prints the time from a write until it is in force at all instances, and the calls that the service counted.
+ * Reports the time from a write until it is active at all instances, and the number of store calls. It contains no
+ * assertions and the build does not run it; see {@code docs/CONFIGURATION.md} for the command.
  */
 class ConfigurationReport {
     private static final KeyValueLog LOG = KeyValueLog.of(ConfigurationReport.class);
@@ -32,7 +32,7 @@
 
     private static void reportChanges(GatewayFleet fleet) {
         long before = fleet.gateway.calls();
-        long[] inForceUs = IntStream.range(2, 2 + CHANGES)
+        long[] activationUs = IntStream.range(2, 2 + CHANGES)
                 .mapToLong(weight -> timeUs(fleet, weight))
                 .sorted()
                 .toArray();
@@ -41,9 +41,9 @@
                 "changes",
                 CHANGES,
                 "in_force_p50_us",
-                inForceUs[CHANGES / 2],
+                activationUs[CHANGES / 2],
                 "in_force_max_us",
-                inForceUs[CHANGES - 1],
+                activationUs[CHANGES - 1],
                 "calls_per_change",
                 (fleet.gateway.calls() - before) / (double) CHANGES,
                 "rounds",
@@ -58,7 +58,7 @@
                 perChange(fleet, PeerMessage.SettingsBodies.class));
     }
 
-    /** The first change and the start are counted in. */
+    /** Messages per change; the count includes the start and the first change. */
     private static double perChange(GatewayFleet fleet, Class<? extends PeerMessage> kind) {
         return fleet.instances.messages(kind) / (CHANGES + 1.0);
     }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/configuration/FakeFleet.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/configuration/FakeFleet.java
@@ -23,18 +23,18 @@
 import org.marjoramswitch.kernel.settings.CustomerSettings;
 import org.marjoramswitch.kernel.settings.FleetSettings;
 
-/** Some instances' duties over one service, joined by links in memory that can be cut. */
+/** Configuration loops of several instances on one store, connected by in-memory links that can be partitioned. */
 final class FakeFleet implements AutoCloseable {
-    private static final ConfigurationOptions QUICK =
+    private static final ConfigurationOptions SHORT_DELAYS =
             new ConfigurationOptions(2, 200, 30, 400, 2_000, 20, 200, 3, 100, 100);
-    private static final long PATIENCE_MS = 20_000;
+    private static final long AWAIT_TIMEOUT_MS = 20_000;
 
     private final Supplier<KeyValueStore> stores;
     private final ConfigurationOptions options;
-    private final Map<InstanceId, ConfigurationLoop> duties = new ConcurrentSkipListMap<>();
+    private final Map<InstanceId, ConfigurationLoop> loops = new ConcurrentSkipListMap<>();
     private final Map<InstanceId, List<FleetSettings>> applied = new ConcurrentHashMap<>();
     private final Map<InstanceId, MetricRegistry> registries = new ConcurrentHashMap<>();
-    private final Set<InstanceId> cutOff = ConcurrentHashMap.newKeySet();
+    private final Set<InstanceId> partitioned = ConcurrentHashMap.newKeySet();
     private final Map<String, Long> messages = new ConcurrentHashMap<>();
     private final List<Member> members = new ArrayList<>();
 
@@ -43,12 +43,12 @@
         this.options = options;
     }
 
-    /** @param instances spread over three data centres */
+    /** @param instances the number of instances, distributed over three data centres */
     static FakeFleet start(FakeStore store, int instances) {
-        return start(() -> store, QUICK, instances);
+        return start(() -> store, SHORT_DELAYS, instances);
     }
 
-    /** @param stores gives each instance its client of the service */
+    /** @param stores supplies the store client of each instance */
     static FakeFleet start(Supplier<KeyValueStore> stores, ConfigurationOptions options, int instances) {
         FakeFleet fleet = new FakeFleet(stores, options);
         for (int i = 0; i < instances; i++) {
@@ -66,45 +66,45 @@
         InstanceId id = member.id();
         applied.put(id, new CopyOnWriteArrayList<>());
         registries.put(id, new MetricRegistry());
-        ConfigurationLoop duty = ConfigurationLoop.start(
+        ConfigurationLoop loop = ConfigurationLoop.start(
                 member,
                 stores.get(),
                 (to, message) -> deliver(id, to, message),
                 applied.get(id)::add,
                 options,
                 registries.get(id));
-        duties.put(id, duty);
-        duty.onView(FleetView.of(members));
+        loops.put(id, loop);
+        loop.onView(FleetView.of(members));
     }
 
-    /** Ends an instance without a word and starts it again with nothing. */
+    /** Stops an instance without notifying its peers and restarts it without settings. */
     void restart(int number) {
-        duties.remove(member(number).id()).close();
+        loops.remove(member(number).id()).close();
         startInstance(member(number));
     }
 
-    /** Cuts all links of an instance, or heals them. */
-    void cutOff(int number, boolean cut) {
-        if (cut) {
-            cutOff.add(member(number).id());
+    /** Cuts or restores all links of an instance. */
+    void setPartitioned(int number, boolean isPartitioned) {
+        if (isPartitioned) {
+            partitioned.add(member(number).id());
             return;
         }
-        cutOff.remove(member(number).id());
+        partitioned.remove(member(number).id());
     }
 
     private void deliver(InstanceId from, InstanceId to, PeerMessage message) {
         messages.merge(message.getClass().getSimpleName(), 1L, Long::sum);
-        ConfigurationLoop duty = duties.get(to);
-        if (duty != null && !cutOff.contains(from) && !cutOff.contains(to)) {
-            duty.onMessage(from, message);
+        ConfigurationLoop loop = loops.get(to);
+        if (loop != null && !partitioned.contains(from) && !partitioned.contains(to)) {
+            loop.onMessage(from, message);
         }
     }
 
-    ConfigurationLoop duty(int number) {
-        return duties.get(member(number).id());
+    ConfigurationLoop loop(int number) {
+        return loops.get(member(number).id());
     }
 
-    /** Messages sent so far, by their kind. */
+    /** The number of messages of a kind sent so far. */
     long messages(Class<? extends PeerMessage> kind) {
         return messages.getOrDefault(kind.getSimpleName(), 0L);
     }
@@ -124,7 +124,7 @@
                 .sum();
     }
 
-    /** Whether a customer has this weight at the instance. */
+    /** Whether the instance's active settings give the customer this weight. */
     boolean hasWeight(int number, String customer, double weight) {
         List<FleetSettings> settings = applied(number);
         if (settings.isEmpty()) {
@@ -142,7 +142,7 @@
     }
 
     static void await(String what, BooleanSupplier condition) {
-        long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
+        long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_TIMEOUT_MS);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > endNs) {
                 throw new AssertionError("not reached: " + what);
@@ -151,12 +151,12 @@
         }
     }
 
-    /** True where no instance ever went back. */
-    boolean neverWentBack() {
-        return applied.values().stream().allMatch(FakeFleet::grows);
+    /** Whether the generations of every instance have only increased. */
+    boolean generationsOnlyIncreased() {
+        return applied.values().stream().allMatch(FakeFleet::isIncreasing);
     }
 
-    private static boolean grows(List<FleetSettings> settings) {
+    private static boolean isIncreasing(List<FleetSettings> settings) {
         for (int i = 1; i < settings.size(); i++) {
             if (settings.get(i).generation() <= settings.get(i - 1).generation()) {
                 return false;
@@ -167,6 +167,6 @@
 
     @Override
     public void close() {
-        duties.values().forEach(ConfigurationLoop::close);
+        loops.values().forEach(ConfigurationLoop::close);
     }
 }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/configuration/FakeStore.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/configuration/FakeStore.java
@@ -14,7 +14,7 @@
 import org.marjoramswitch.daemon.platform.KeyValueResult;
 import org.marjoramswitch.daemon.platform.UnusedStore;
 
-/** The platform's service in memory, with its failures; shared by all instances of a test. */
+/** In-memory key-value store with failure injection; shared by all instances of a test. */
 final class FakeStore extends UnusedStore {
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private final List<Watcher> watchers = new ArrayList<>();
@@ -23,7 +23,7 @@
     private @Nullable BooleanSupplier heldSwap;
     private long revision = 1;
     private boolean down;
-    private boolean loseNextAnswer;
+    private boolean loseNextResponse;
     private boolean holdNextSwap;
 
     synchronized void setDown(boolean isDown) {
@@ -35,13 +35,13 @@
         }
     }
 
-    /** Watches that are open now will never bring an event again; new ones work. */
+    /** Stops all events on the open watches without closing them; new watches work. */
     synchronized void silenceOpenWatches() {
         watchers.clear();
     }
 
-    synchronized void loseNextAnswer() {
-        loseNextAnswer = true;
+    synchronized void loseNextResponse() {
+        loseNextResponse = true;
     }
 
     synchronized void holdNextSwap() {
@@ -52,7 +52,7 @@
         return heldSwap != null;
     }
 
-    /** Carries the held write out; the result is whether it took effect. */
+    /** Executes the held write; returns whether it took effect. */
     synchronized boolean releaseSwap() {
         BooleanSupplier swap = Objects.requireNonNull(heldSwap);
         heldSwap = null;
@@ -63,7 +63,7 @@
         return new TreeMap<>(entries);
     }
 
-    /** Brings a backup back: its entries, and the revision of the newest of them. */
+    /** Restores the entries of a backup and the revision of the newest of them. */
     synchronized void restore(Map<String, Entry> backup) {
         entries.clear();
         entries.putAll(backup);
@@ -76,7 +76,7 @@
         return entries.get(key);
     }
 
-    /** An operator's write; the answer is whether it took effect. */
+    /** Performs an operator's write; returns whether it took effect. */
     synchronized boolean write(String key, String json, long expectedRevision) {
         return apply(Map.of(key, expectedRevision), Map.of(key, json.replace('\'', '"')), List.of());
     }
@@ -88,12 +88,12 @@
 
     @Override
     public CompletableFuture<KeyValueResult<@Nullable Entry>> get(String key) {
-        return answer(() -> entries.get(key));
+        return reply(() -> entries.get(key));
     }
 
     @Override
     public CompletableFuture<KeyValueResult<Range>> range(String prefix) {
-        return answer(() ->
+        return reply(() ->
                 new Range(List.copyOf(entries.subMap(prefix, prefix + '\uffff').values()), revision));
     }
 
@@ -110,13 +110,13 @@
             };
             return held;
         }
-        boolean lost = loseNextAnswer;
-        loseNextAnswer = false;
-        var answer = answer(() -> apply(expectedModRevisions, puts, deletes));
-        return lost ? CompletableFuture.completedFuture(new KeyValueResult.OutcomeUnknown<>("lost")) : answer;
+        boolean lost = loseNextResponse;
+        loseNextResponse = false;
+        var reply = reply(() -> apply(expectedModRevisions, puts, deletes));
+        return lost ? CompletableFuture.completedFuture(new KeyValueResult.OutcomeUnknown<>("lost")) : reply;
     }
 
-    private synchronized <T extends @Nullable Object> CompletableFuture<KeyValueResult<T>> answer(Supplier<T> value) {
+    private synchronized <T extends @Nullable Object> CompletableFuture<KeyValueResult<T>> reply(Supplier<T> value) {
         calls.incrementAndGet();
         if (down) {
             return CompletableFuture.completedFuture(new KeyValueResult.NotSent<>("down"));
@@ -135,16 +135,16 @@
         puts.forEach((key, value) -> {
             Entry entry = new Entry(key, value, revision, revision, 1, 0);
             entries.put(key, entry);
-            tell(key, new WatchEvent.Put(entry));
+            notifyWatchers(key, new WatchEvent.Put(entry));
         });
         deletes.forEach(key -> {
             entries.remove(key);
-            tell(key, new WatchEvent.Deleted(key, revision));
+            notifyWatchers(key, new WatchEvent.Deleted(key, revision));
         });
         return true;
     }
 
-    private void tell(String key, WatchEvent event) {
+    private void notifyWatchers(String key, WatchEvent event) {
         history.add(event);
         watchers.stream()
                 .filter(watcher -> key.startsWith(watcher.prefix()))
--- a/daemon/src/test/java/org/marjoramswitch/daemon/configuration/GatewayFleet.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/configuration/GatewayFleet.java
@@ -14,7 +14,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Some instances' duties, each with a client of its own of one stand-in of the platform's service over loopback. */
+/** Configuration loops of several instances, each with its own loopback client of a simulated key-value store. */
 final class GatewayFleet implements AutoCloseable {
     private static final String KEY = "settings/floor/base";
 
