--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/DisconnectReason.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/DisconnectReason.java
@@ -4,31 +4,31 @@
 
 /** Why a connection to a peer was closed. */
 enum DisconnectReason {
-    /** The peer closed it, or the network did. */
+    /** The peer or the network closed the connection. */
     CLOSED,
-    /** Nothing came while something should have. */
+    /** An active link received nothing within the silence timeout. */
     SILENT,
-    /** The handshake did not end in time. */
+    /** The handshake did not complete in time. */
     HANDSHAKE_TIMEOUT,
-    /** The peer did not prove that it knows the fleet key, or is another instance than expected. */
+    /** The peer did not prove that it knows the fleet key, or is not the expected instance. */
     HANDSHAKE_FAILED,
     /** A frame could not be decoded. */
     FRAME_INVALID,
-    /** More messages waited than the ring holds. */
+    /** The ring of queued messages overflowed. */
     RING_FULL,
-    /** This instance could not take in a message of the peer. */
+    /** This instance had no capacity to accept a message from the peer. */
     RECEIVER_FULL,
-    /** A message was larger than a frame may be. */
+    /** A message exceeded the maximum frame size. */
     MESSAGE_TOO_LARGE,
-    /** Another connection to the same peer is kept. */
+    /** Another connection to the same peer is used as the link. */
     REPLACED,
-    /** Nothing was said for long. */
+    /** No message was exchanged within the idle timeout. */
     IDLE,
     /** The peer is no longer in the list of peers. */
     PEER_REMOVED,
-    /** Too many connections have not proved who they are. */
+    /** Too many connections are unauthenticated. */
     TOO_MANY,
-    /** This instance closes its links. */
+    /** This instance is shutting down its links. */
     SHUTDOWN;
 
     String logName() {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/Handshake.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/Handshake.java
@@ -17,20 +17,20 @@
 import org.msgpack.core.MessagePack;
 
 /**
- * One side of the handshake that opens a link: a mutual challenge on the fleet key.
+ * One side of the handshake that opens a link: mutual challenge-response authentication with the fleet key.
  *
- * <p>The initiator sends a nonce, the acceptor answers with its own nonce and its proof, the initiator sends its proof,
- * the acceptor accepts. A proof is an HMAC-SHA256 under the fleet key over the prover's role, both instances with their
- * incarnations, both nonces and the protocol version.
+ * <p>The initiator sends a nonce, the acceptor replies with its own nonce and its proof, the initiator sends its proof,
+ * and the acceptor accepts. A proof is an HMAC-SHA256 under the fleet key over the prover's role, both instances with
+ * their incarnations, both nonces and the protocol version.
  *
- * <p>Why a reflected challenge fails: to pass for instance B before A, an attacker without the key needs a proof made
- * for (A, B) in B's role. A itself only makes proofs in A's role, with A's id in A's place, so nothing that A can be
- * brought to say on a second connection fits; and A refuses a peer that gives A's own id. Fresh nonces of both sides
- * make a recorded handshake worthless.
+ * <p>Reflection attacks: to impersonate instance B to A, an attacker without the key needs a proof made for (A, B) in
+ * B's role. A only makes proofs in A's role, with A's id in A's position, so no proof that A sends on a second
+ * connection is valid here. A also rejects a peer that presents A's own id. Fresh nonces from both sides prevent the
+ * replay of a recorded handshake.
  *
- * <p>The handshake proves who opened the connection. It does not encrypt or sign the frames that follow, so the network
- * between the instances has to be the operators' own. The key should be long and random, since whoever connects is
- * given a proof that a guessed key can be tried on.
+ * <p>Security limits: the handshake authenticates both ends of the connection. It does not encrypt or sign the frames
+ * that follow, so the network between the instances must be trusted by the operators. The key should be long and
+ * random, because every client that connects receives a proof against which it can test guessed keys offline.
  */
 final class Handshake {
     static final int VERSION = 1;
@@ -57,22 +57,22 @@
         RANDOM.nextBytes(ownNonce);
     }
 
-    /** The side that opened the connection, to the instance it expects there. */
+    /** Creates the side that opened the connection; {@code expected} is the instance it intends to reach. */
     static Handshake initiate(Member self, String fleetKey, InstanceId expected) {
         return new Handshake(self, fleetKey, expected);
     }
 
-    /** The side that was connected to. */
+    /** Creates the side that accepted the connection. */
     static Handshake accept(Member self, String fleetKey) {
         return new Handshake(self, fleetKey, null);
     }
 
-    boolean initiator() {
+    boolean isInitiator() {
         return expected != null;
     }
 
-    /** Whether this side, as the initiator, has sent its proof and waits for the acceptor's word. */
-    boolean proofSent() {
+    /** Whether this side, as the initiator, has sent its proof and awaits the acceptor's {@code Accepted}. */
+    boolean hasSentProof() {
         return state == State.AWAIT_ACCEPTED;
     }
 
@@ -84,7 +84,7 @@
         return peerIncarnation;
     }
 
-    /** The same number at both ends of a link and no other link. */
+    /** Identifies the link; equal at both ends and different for every other link. */
     long linkId() {
         return ByteBuffer.wrap(mac("link")).getLong();
     }
@@ -94,7 +94,7 @@
                 new HandshakeMessage.Hello(VERSION, self.id().name(), self.incarnation(), ownNonce));
     }
 
-    /** The initiator's proof; {@code lastLinkId} names the last link to the peer that this side saw up. */
+    /** Encodes the initiator's proof; {@code lastLinkId} identifies the last link to the peer that was up here. */
     byte[] proof(long lastLinkId) {
         state = State.AWAIT_ACCEPTED;
         return HandshakeCodec.encode(new HandshakeMessage.Proof(lastLinkId, mac("initiator:" + lastLinkId)));
@@ -105,7 +105,7 @@
         return HandshakeCodec.encode(new HandshakeMessage.Accepted());
     }
 
-    /** Takes the peer's next message. */
+    /** Processes the peer's next message. */
     HandshakeStep onMessage(byte[] bytes) {
         HandshakeMessage message = HandshakeCodec.decode(bytes);
         if (state == State.AWAIT_HELLO && message instanceof HandshakeMessage.Hello hello) {
@@ -127,10 +127,11 @@
     private HandshakeStep onHello(HandshakeMessage.Hello hello) {
         setPeer(hello.version(), hello.instance(), hello.incarnation(), hello.nonce());
         if (peer.equals(self.id())) {
-            return new HandshakeStep.Failed(ErrorType.PEER_UNAUTHENTICATED, "it gives our own name");
+            return new HandshakeStep.Failed(ErrorType.PEER_UNAUTHENTICATED, "peer presents this instance's own id");
         }
         if (peerNonce.length != NONCE_BYTES || hello.version() < 1) {
-            return new HandshakeStep.Failed(ErrorType.PEER_FRAME_INVALID, "bad hello");
+            return new HandshakeStep.Failed(
+                    ErrorType.PEER_FRAME_INVALID, "invalid nonce length or protocol version in hello");
         }
         state = State.AWAIT_PROOF;
         return new HandshakeStep.Reply(HandshakeCodec.encode(new HandshakeMessage.Challenge(
@@ -145,14 +146,14 @@
         if (!MessageDigest.isEqual(challenge.proof(), mac("acceptor"))) {
             return new HandshakeStep.Failed(ErrorType.PEER_UNAUTHENTICATED, peer.name());
         }
-        return new HandshakeStep.PeerProved(0);
+        return new HandshakeStep.PeerAuthenticated(0);
     }
 
     private HandshakeStep onProof(HandshakeMessage.Proof proof) {
         if (!MessageDigest.isEqual(proof.proof(), mac("initiator:" + proof.lastLinkId()))) {
             return new HandshakeStep.Failed(ErrorType.PEER_UNAUTHENTICATED, peer.name());
         }
-        return new HandshakeStep.PeerProved(proof.lastLinkId());
+        return new HandshakeStep.PeerAuthenticated(proof.lastLinkId());
     }
 
     private void setPeer(int peerVersion, String instance, long incarnation, byte[] nonce) {
@@ -174,22 +175,22 @@
         }
     }
 
-    /** What both sides saw, the initiator's part first, in a form in which no two transcripts look alike. */
+    /** Encodes what both sides exchanged, the initiator's part first; different inputs give different bytes. */
     private byte[] transcript(String label) throws IOException {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packString("marjoramswitch-peer").packInt(version).packString(label);
-            if (initiator()) {
-                putSide(packer, self.id(), self.incarnation(), ownNonce);
-                putSide(packer, peer, peerIncarnation, peerNonce);
+            if (isInitiator()) {
+                packSide(packer, self.id(), self.incarnation(), ownNonce);
+                packSide(packer, peer, peerIncarnation, peerNonce);
             } else {
-                putSide(packer, peer, peerIncarnation, peerNonce);
-                putSide(packer, self.id(), self.incarnation(), ownNonce);
+                packSide(packer, peer, peerIncarnation, peerNonce);
+                packSide(packer, self.id(), self.incarnation(), ownNonce);
             }
             return packer.toByteArray();
         }
     }
 
-    private static void putSide(MessageBufferPacker packer, InstanceId instance, long incarnation, byte[] nonce)
+    private static void packSide(MessageBufferPacker packer, InstanceId instance, long incarnation, byte[] nonce)
             throws IOException {
         packer.packString(instance.name()).packLong(incarnation);
         packer.packBinaryHeader(nonce.length).writePayload(nonce);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/HandshakeCodec.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/HandshakeCodec.java
@@ -12,9 +12,9 @@
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
 
-/** The MessagePack form of the handshake: an array of the message's number and its fields. */
+/** Encodes handshake messages in MessagePack as an array of the message's number and its fields. */
 final class HandshakeCodec {
-    /** The longest handshake message; one frame carries one message. */
+    /** Maximum size of a handshake message; each message is sent in its own frame. */
     static final int MAX_BYTES = 1_024;
 
     private static final int HELLO = 1;
@@ -33,7 +33,7 @@
         }
     }
 
-    /** The message, or null where the bytes are none. */
+    /** Returns null if the bytes are not a valid message. */
     static @Nullable HandshakeMessage decode(byte[] bytes) {
         if (bytes.length > MAX_BYTES) {
             return null;
@@ -49,15 +49,15 @@
         if (message instanceof Hello hello) {
             packer.packArrayHeader(5).packInt(HELLO).packInt(hello.version());
             packer.packString(hello.instance()).packLong(hello.incarnation());
-            putBytes(packer, hello.nonce());
+            packBytes(packer, hello.nonce());
         } else if (message instanceof Challenge challenge) {
             packer.packArrayHeader(6).packInt(CHALLENGE).packInt(challenge.version());
             packer.packString(challenge.instance()).packLong(challenge.incarnation());
-            putBytes(packer, challenge.nonce());
-            putBytes(packer, challenge.proof());
+            packBytes(packer, challenge.nonce());
+            packBytes(packer, challenge.proof());
         } else if (message instanceof Proof proof) {
             packer.packArrayHeader(3).packInt(PROOF).packLong(proof.lastLinkId());
-            putBytes(packer, proof.proof());
+            packBytes(packer, proof.proof());
         } else {
             packer.packArrayHeader(1).packInt(ACCEPTED);
         }
@@ -67,28 +67,28 @@
         unpacker.unpackArrayHeader();
         return switch (unpacker.unpackInt()) {
             case HELLO ->
-                new Hello(unpacker.unpackInt(), unpacker.unpackString(), unpacker.unpackLong(), bytes(unpacker));
+                new Hello(unpacker.unpackInt(), unpacker.unpackString(), unpacker.unpackLong(), unpackBytes(unpacker));
             case CHALLENGE ->
                 new Challenge(
                         unpacker.unpackInt(),
                         unpacker.unpackString(),
                         unpacker.unpackLong(),
-                        bytes(unpacker),
-                        bytes(unpacker));
-            case PROOF -> new Proof(unpacker.unpackLong(), bytes(unpacker));
+                        unpackBytes(unpacker),
+                        unpackBytes(unpacker));
+            case PROOF -> new Proof(unpacker.unpackLong(), unpackBytes(unpacker));
             case ACCEPTED -> new Accepted();
             default -> null;
         };
     }
 
-    private static void putBytes(MessageBufferPacker packer, byte[] bytes) throws IOException {
+    private static void packBytes(MessageBufferPacker packer, byte[] bytes) throws IOException {
         packer.packBinaryHeader(bytes.length).writePayload(bytes);
     }
 
-    private static byte[] bytes(MessageUnpacker unpacker) throws IOException {
+    private static byte[] unpackBytes(MessageUnpacker unpacker) throws IOException {
         int lengthBytes = unpacker.unpackBinaryHeader();
         if (lengthBytes > MAX_BYTES) {
-            throw new IOException("a field longer than its message");
+            throw new IOException("field is longer than the maximum handshake message");
         }
         return unpacker.readPayload(lengthBytes);
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/HandshakeMessage.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/HandshakeMessage.java
@@ -1,7 +1,7 @@
 package org.marjoramswitch.daemon.peer;
 
-/** The four messages of a link's handshake, in their order; {@link Handshake} says what each proves. */
-@SuppressWarnings("ArrayRecordComponent") // read once and never compared as a whole
+/** The four messages of the link handshake, in order; {@link Handshake} describes what each proves. */
+@SuppressWarnings("ArrayRecordComponent") // read once, never compared by equals
 sealed interface HandshakeMessage {
 
     /** Initiator to acceptor. */
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/HandshakeStep.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/HandshakeStep.java
@@ -2,17 +2,17 @@
 
 import org.marjoramswitch.kernel.error.ErrorType;
 
-/** What follows from a handshake message. */
-@SuppressWarnings("ArrayRecordComponent") // the bytes go straight to the socket
+/** The action to take after processing a handshake message. */
+@SuppressWarnings("ArrayRecordComponent") // written to the socket, never compared by equals
 sealed interface HandshakeStep {
 
-    /** Send this answer. */
+    /** Send this reply. */
     record Reply(byte[] bytes) implements HandshakeStep {}
 
-    /** The peer has proved itself; whether the link is wanted is decided by {@link PeerRoute}. */
-    record PeerProved(long lastLinkId) implements HandshakeStep {}
+    /** The peer is authenticated; {@link PeerRoute} decides whether the connection becomes the link. */
+    record PeerAuthenticated(long lastLinkId) implements HandshakeStep {}
 
-    /** The acceptor has taken the link. */
+    /** The acceptor has accepted the link. */
     record Complete() implements HandshakeStep {}
 
     /** Close the connection. */
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerConnection.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerConnection.java
@@ -15,26 +15,26 @@
 import org.marjoramswitch.kernel.wire.LinkEncoder;
 import org.marjoramswitch.kernel.wire.WireLimits;
 
-/** One TCP connection to a peer: its buffers, its handshake, its codecs and its signs of life. */
+/** One TCP connection to a peer: buffers, handshake, codecs and liveness timestamps. Confined to the links thread. */
 final class PeerConnection {
-    /** While more bytes than this wait for the socket, messages stay in the ring. */
+    /** Above this many unsent bytes, messages stay in the ring. */
     static final int MAX_UNSENT_BYTES = 256 << 10;
 
-    private static final int BUFFER_BYTES = 4 << 10;
-    private static final int KEPT_BUFFER_BYTES = 64 << 10;
-    /** A frame is closed when it holds this much; larger ones only where a single message is larger. */
+    private static final int INITIAL_BUFFER_BYTES = 4 << 10;
+    private static final int MAX_RETAINED_BUFFER_BYTES = 64 << 10;
+    /** Target frame size; a frame exceeds it only if a single message does. */
     private static final int FRAME_TARGET_BYTES = 16 << 10;
 
     private final SocketChannel channel;
     private final SelectionKey key;
     private final Handshake handshake;
     private final PeerMetrics metrics;
-    private final long startedMs;
+    private final long startedAtMs;
     private final Deque<ByteBuffer> unsent = new ArrayDeque<>();
     private final ByteArrayOutputStream frame = new ByteArrayOutputStream();
     private final LinkEncoder encoder = LinkEncoder.create();
     private final LinkDecoder decoder = LinkDecoder.create();
-    private ByteBuffer received = ByteBuffer.allocate(BUFFER_BYTES);
+    private ByteBuffer received = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
     private @Nullable PeerRoute route;
     private long unsentBytes;
     private long linkId;
@@ -51,7 +51,7 @@
         this.key = key;
         this.handshake = handshake;
         this.metrics = metrics;
-        this.startedMs = nowMs;
+        this.startedAtMs = nowMs;
     }
 
     static PeerConnection of(
@@ -76,7 +76,7 @@
         this.route = route;
     }
 
-    boolean up() {
+    boolean isUp() {
         return up;
     }
 
@@ -88,8 +88,8 @@
         return linkId;
     }
 
-    /** The handshake is over; messages may go. */
-    void goUp(long nowMs) {
+    /** Marks the handshake as completed; messages may be sent from now on. */
+    void markUp(long nowMs) {
         up = true;
         linkId = handshake.linkId();
         upSinceMs = nowMs;
@@ -99,50 +99,51 @@
         activeSinceMs = nowMs;
     }
 
-    boolean handshakeOverdue(long nowMs, PeerLinkOptions options) {
-        return !up && nowMs - startedMs > options.handshakeTimeoutMs();
+    boolean isHandshakeOverdue(long nowMs, PeerLinkOptions options) {
+        return !up && nowMs - startedAtMs > options.handshakeTimeoutMs();
     }
 
-    /** Whether the peer owes signs of life now. */
-    boolean active(long nowMs, PeerLinkOptions options) {
+    /** Whether the link has recent messages, so that the peer is expected to send heartbeats. */
+    boolean isActive(long nowMs, PeerLinkOptions options) {
         return up && nowMs - lastMessageMs <= options.activeForMs();
     }
 
-    boolean idle(long nowMs, PeerLinkOptions options) {
+    boolean isIdle(long nowMs, PeerLinkOptions options) {
         return up && nowMs - lastMessageMs > options.idleAfterMs();
     }
 
-    boolean silent(long nowMs, PeerLinkOptions options) {
-        return active(nowMs, options) && nowMs - Math.max(lastReceivedMs, activeSinceMs) > options.silentAfterMs();
+    boolean isSilent(long nowMs, PeerLinkOptions options) {
+        return isActive(nowMs, options) && nowMs - Math.max(lastReceivedMs, activeSinceMs) > options.silentAfterMs();
     }
 
     /**
-     * Whether a heartbeat is due. This side goes on a little longer than it expects them, since the peer saw the last
-     * message later than this side and still counts on them.
+     * Whether a heartbeat is due. This side sends heartbeats for longer than it expects them, because the peer may have
+     * received the last message later and still expects heartbeats.
      */
-    boolean heartbeatDue(long nowMs, PeerLinkOptions options) {
+    boolean isHeartbeatDue(long nowMs, PeerLinkOptions options) {
         return up
                 && nowMs - lastMessageMs <= options.activeForMs() + options.silentAfterMs()
                 && nowMs - lastSentMs >= options.heartbeatIntervalMs()
                 && unsent.isEmpty();
     }
 
-    /** A message that is no heartbeat went out or came in. */
+    /** Records that a message other than a heartbeat was sent or received. */
     void onMessage(long nowMs, PeerLinkOptions options) {
-        if (!active(nowMs, options)) {
+        if (!isActive(nowMs, options)) {
             activeSinceMs = nowMs;
         }
         lastMessageMs = nowMs;
     }
 
-    boolean canTakeMore() {
+    boolean hasSendCapacity() {
         return unsentBytes < MAX_UNSENT_BYTES;
     }
 
     /**
-     * Adds a message to the frame that is being filled.
+     * Appends a message to the current frame.
      *
-     * @return false where it is larger than any frame; the encoder's state is then unknown to the peer
+     * @return false if the message exceeds the maximum frame size; the peer's decoder is then out of step with the
+     *     encoder
      */
     boolean append(PeerMessage message) {
         byte[] encoded = encoder.encode(message);
@@ -157,13 +158,13 @@
         return true;
     }
 
-    /** Ends the frame that is being filled and sends what the socket takes. */
+    /** Closes the current frame and writes as much as the socket accepts. */
     void flush(long nowMs) throws IOException {
         closeFrame();
         write(nowMs);
     }
 
-    /** Sends a handshake message as a frame of its own. */
+    /** Sends a handshake message in its own frame. */
     void sendHandshake(byte[] message, long nowMs) throws IOException {
         frame.writeBytes(message);
         flush(nowMs);
@@ -183,7 +184,7 @@
         metrics.framesOut.inc();
     }
 
-    /** Sends what the socket takes of the closed frames. */
+    /** Writes as many bytes of the closed frames as the socket accepts. */
     void write(long nowMs) throws IOException {
         while (!unsent.isEmpty()) {
             ByteBuffer first = unsent.getFirst();
@@ -202,7 +203,7 @@
         key.interestOps(SelectionKey.OP_READ);
     }
 
-    /** Reads what the socket has; returns the number of bytes, negative at the stream's end. */
+    /** Reads the available bytes; returns their number, or a negative number at the end of the stream. */
     int read(long nowMs) throws IOException {
         if (!received.hasRemaining()) {
             growBuffer();
@@ -216,18 +217,18 @@
     }
 
     /**
-     * Hands over each whole frame that was received.
+     * Passes each complete received frame to the handler.
      *
-     * @return false where the bytes are no frames or the handler stopped
+     * @return false if the bytes are not valid frames or the handler returned false
      */
     boolean readFrames(FrameHandler handler) throws IOException {
         received.flip();
-        boolean sound = true;
-        while (sound) {
+        boolean valid = true;
+        while (valid) {
             int start = received.position();
             int payloadBytes = FrameCodec.payloadBytes(received, maxFrameBytes());
             if (payloadBytes == FrameCodec.INVALID) {
-                sound = false;
+                valid = false;
                 break;
             }
             if (payloadBytes == FrameCodec.INCOMPLETE || received.remaining() < payloadBytes) {
@@ -237,11 +238,11 @@
             int at = received.position();
             received.position(at + payloadBytes);
             metrics.framesIn.inc();
-            sound = handler.onFrame(received.array(), at, payloadBytes);
+            valid = handler.onFrame(received.array(), at, payloadBytes);
         }
         received.compact();
         shrinkBuffer();
-        return sound;
+        return valid;
     }
 
     DecodeResult decode(byte[] bytes, int offset, int lengthBytes) {
@@ -253,7 +254,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            // Nothing is left to release; the connection is given up either way.
+            // Nothing is left to release; the connection is abandoned either way.
         }
     }
 
@@ -261,7 +262,7 @@
         return up ? WireLimits.MAX_FRAME_BYTES : HandshakeCodec.MAX_BYTES;
     }
 
-    /** Grows by what has arrived, not by what a prefix announces, so that a false prefix allocates nothing. */
+    /** Grows with the bytes received, not the announced frame length, so that a forged length allocates nothing. */
     private void growBuffer() {
         ByteBuffer larger = ByteBuffer.allocate(
                 Math.min(received.capacity() * 2, WireLimits.MAX_FRAME_BYTES + FrameCodec.MAX_OVERHEAD_BYTES));
@@ -270,12 +271,12 @@
     }
 
     private void shrinkBuffer() {
-        if (received.position() == 0 && received.capacity() > KEPT_BUFFER_BYTES) {
-            received = ByteBuffer.allocate(BUFFER_BYTES);
+        if (received.position() == 0 && received.capacity() > MAX_RETAINED_BUFFER_BYTES) {
+            received = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
         }
     }
 
-    /** Takes one frame's payload; returns false to stop. */
+    /** Processes the payload of one frame; returns false to stop. */
     interface FrameHandler {
         boolean onFrame(byte[] bytes, int offset, int lengthBytes) throws IOException;
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerLinkOptions.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerLinkOptions.java
@@ -1,19 +1,20 @@
 package org.marjoramswitch.daemon.peer;
 
 /**
- * The times and bounds of the links between instances.
+ * Timeouts and limits of the links between instances.
  *
- * @param lingerMs how long a queued message waits for others to share its frame
- * @param heartbeatIntervalMs the longest that an active link sends nothing; an entry that waits for grants probes its
- *     arbiter sooner by itself, so these only find connections that went silent with nothing waiting
- * @param silentAfterMs an active link that brought nothing for this long is closed
- * @param activeForMs a link counts as active for this long after its last message that was no heartbeat
- * @param wantedForMs a lost link is opened again if a message was sent to the peer this recently
- * @param idleAfterMs a link without messages for this long is closed, so that links do not add up
- * @param handshakeTimeoutMs the longest from a connection's start to its completed handshake
- * @param unreachableAfterMs messages for a peer that could not be reached for this long are dropped
- * @param backoffMinMs the first pause between attempts to connect, doubled up to {@code backoffMaxMs}
- * @param ringMessages the most messages that wait for one link
+ * @param lingerMs how long a queued message waits to share a frame with later messages
+ * @param heartbeatIntervalMs maximum time for which an active link sends nothing; an entry instance that waits for
+ *     grants probes its arbiter at a shorter interval, so heartbeats only detect connections that go silent while
+ *     nothing waits
+ * @param silentAfterMs an active link that has received nothing for this long is closed
+ * @param activeForMs a link is active for this long after its last message other than a heartbeat
+ * @param wantedForMs a lost link is reopened if a message was sent to the peer within this time
+ * @param idleAfterMs a link without messages for this long is closed, which bounds the number of open links
+ * @param handshakeTimeoutMs maximum time from opening a connection to completing its handshake
+ * @param unreachableAfterMs messages for a peer that has been unreachable for this long are dropped
+ * @param backoffMinMs initial delay between connection attempts, doubled up to {@code backoffMaxMs}
+ * @param ringMessages maximum number of messages queued for one link
  */
 public record PeerLinkOptions(
         long lingerMs,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerLinks.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerLinks.java
@@ -22,21 +22,22 @@
 import org.marjoramswitch.kernel.wire.DecodeResult;
 
 /**
- * The TCP links to the other instances: one thread with one selector, however many peers there are.
+ * Manages the TCP links to the other instances on one thread with one selector, independent of the number of peers.
  *
- * <p>A link is opened by the first message for its peer, or by the peer. Messages that are queued within
- * {@link PeerLinkOptions#lingerMs} of each other leave in one frame. A link with traffic carries heartbeats both ways;
- * one that brings nothing for {@link PeerLinkOptions#silentAfterMs} is closed, reported as down and opened again while
- * the peer is wanted. An idle link carries none: whether its peer lives is the failure detector's concern.
+ * <p>A link is opened by the first message for its peer, or by the peer. Messages queued within
+ * {@link PeerLinkOptions#lingerMs} of each other are sent in one frame. A link with traffic carries heartbeats in both
+ * directions; if it receives nothing for {@link PeerLinkOptions#silentAfterMs}, it is closed, reported as down and,
+ * while the peer is wanted, reopened. An idle link carries no heartbeats: the failure detector monitors whether its
+ * peer is alive.
  *
- * <p>What waits for a link is bounded. When a ring is full, when a link is lost, and when a peer cannot be reached, the
- * messages that wait are dropped and counted by type. Nothing is resent here: a link that comes up again is reported,
- * and the decisions then send their whole state, which replaces what was lost.
+ * <p>The queue of each link is bounded. When a ring is full, a link is lost or a peer is unreachable, the queued
+ * messages are dropped and counted by type. Nothing is resent here: when a link comes up again, the listener is
+ * notified and the decision loop sends its complete state, which replaces the lost messages.
  */
 public final class PeerLinks implements PeerSender, AutoCloseable {
     private static final KeyValueLog LOG = KeyValueLog.of(PeerLinks.class);
-    private static final long BUSY_TIMER_MS = 20;
-    private static final long QUIET_TIMER_MS = 500;
+    private static final long BUSY_TIMER_INTERVAL_MS = 20;
+    private static final long IDLE_TIMER_INTERVAL_MS = 500;
     private static final long CLOSE_TIMEOUT_MS = 2_000;
     private static final PeerMessage HEARTBEAT = new PeerMessage.Heartbeat();
 
@@ -51,11 +52,11 @@
     private final Thread thread;
     private final SplittableRandom random;
     private final Map<InstanceId, PeerRoute> routes = new ConcurrentHashMap<>();
-    /** Routes with new messages or a new address; each is in here once at most. */
+    /** Routes with work to do; each is queued at most once. */
     private final Queue<PeerRoute> scheduled = new ConcurrentLinkedQueue<>();
 
     private final List<PeerRoute> lingering = new ArrayList<>();
-    private final AtomicBoolean promptly = new AtomicBoolean();
+    private final AtomicBoolean flushRequested = new AtomicBoolean();
     private long flushDueMs = Long.MAX_VALUE;
     private long timersDueMs;
     private volatile boolean closed;
@@ -81,14 +82,14 @@
         this.thread.setDaemon(true);
     }
 
-    /** Binds and starts the links' thread; throws where the address cannot be bound. */
+    /** Binds the address and starts the links thread; throws if the address cannot be bound. */
     public static PeerLinks start(
             Member self, HostPort bind, String fleetKey, PeerListener listener, MetricRegistry registry)
             throws IOException {
         return start(self, bind, fleetKey, listener, registry, PeerLinkOptions.DEFAULTS);
     }
 
-    /** As the other {@code start}, with times and bounds of the caller's choice. */
+    /** Like the other {@code start}, with the given options. */
     public static PeerLinks start(
             Member self,
             HostPort bind,
@@ -103,12 +104,12 @@
         return links;
     }
 
-    /** Where peers connect; the port is the one that the system chose where 0 was asked for. */
+    /** The address that peers connect to; its port is the ephemeral one if the configured port is 0. */
     public InetSocketAddress boundAddress() {
         return boundAddress;
     }
 
-    /** Replaces the addresses that links are opened to; the link to a peer that is no longer named is closed. */
+    /** Replaces the peer addresses; the link to a peer that is no longer listed is closed. */
     public void setPeers(Map<InstanceId, HostPort> addresses) {
         addresses.forEach((peer, address) -> {
             if (!peer.equals(self.id())) {
@@ -134,23 +135,23 @@
             metrics.dropped(message);
         }
         schedule(route);
-        if (message.prompt() && !promptly.getAndSet(true)) {
+        if (message.prompt() && !flushRequested.getAndSet(true)) {
             sockets.wakeup();
         }
     }
 
     /**
-     * Closes the link to a peer of which a message could not be taken in; it is opened again while the peer is wanted.
+     * Closes the link to a peer whose message could not be accepted; the link is reopened while the peer is wanted.
      */
     public void disconnect(InstanceId peer) {
         PeerRoute route = routes.get(peer);
         if (route != null) {
-            route.requestCut();
+            route.requestDisconnect();
             schedule(route);
         }
     }
 
-    /** Sends what is queued as far as sockets take it at once, then closes all links. */
+    /** Writes the queued messages as far as the sockets accept them without blocking, then closes all links. */
     @Override
     public void close() {
         closed = true;
@@ -202,13 +203,13 @@
             route.backOff(nowMs, options, random.nextDouble());
             LOG.debug("peer_connect_failed", "peer", route.peer(), "reason", e.toString());
         }
-        timersSoon(nowMs);
+        scheduleTimers(nowMs);
     }
 
-    /** Returns false where the frame is broken. */
-    private boolean takeFrame(PeerConnection connection, byte[] array, int offset, int length, long nowMs)
+    /** Returns false if the frame is invalid. */
+    private boolean processFrame(PeerConnection connection, byte[] array, int offset, int length, long nowMs)
             throws IOException {
-        if (!connection.up()) {
+        if (!connection.isUp()) {
             onHandshake(connection, Arrays.copyOfRange(array, offset, offset + length), nowMs);
             return true;
         }
@@ -235,9 +236,9 @@
             return;
         }
         connection.onMessage(nowMs, options);
-        timersSoon(nowMs);
+        scheduleTimers(nowMs);
         Handshake handshake = connection.handshake();
-        guarded(() -> listener.onMessage(handshake.peer(), handshake.peerIncarnation(), message));
+        notifyListener(() -> listener.onMessage(handshake.peer(), handshake.peerIncarnation(), message));
     }
 
     // Handshakes
@@ -246,8 +247,8 @@
         HandshakeStep step = connection.handshake().onMessage(message);
         if (step instanceof HandshakeStep.Reply reply) {
             connection.sendHandshake(reply.bytes(), nowMs);
-        } else if (step instanceof HandshakeStep.PeerProved proved) {
-            onProved(connection, proved, nowMs);
+        } else if (step instanceof HandshakeStep.PeerAuthenticated authenticated) {
+            onPeerAuthenticated(connection, authenticated, nowMs);
         } else if (step instanceof HandshakeStep.Complete) {
             linkUp(connection, route(connection.handshake().peer()), nowMs);
         } else if (step instanceof HandshakeStep.Failed failed) {
@@ -255,11 +256,12 @@
         }
     }
 
-    private void onProved(PeerConnection connection, HandshakeStep.PeerProved proved, long nowMs) throws IOException {
+    private void onPeerAuthenticated(
+            PeerConnection connection, HandshakeStep.PeerAuthenticated authenticated, long nowMs) throws IOException {
         Handshake handshake = connection.handshake();
         PeerRoute route = route(handshake.peer());
-        if (handshake.initiator()) {
-            // The peer's own connection came up in the meantime; this one is not needed.
+        if (handshake.isInitiator()) {
+            // A connection opened by the peer came up meanwhile; this one is redundant.
             if (route.link() != null) {
                 disconnect(connection, DisconnectReason.REPLACED, nowMs);
                 return;
@@ -267,7 +269,7 @@
             connection.sendHandshake(handshake.proof(route.lastLinkId()), nowMs);
             return;
         }
-        if (!route.admits(self.id(), handshake, proved.lastLinkId())) {
+        if (!route.admits(self.id(), handshake, authenticated.lastLinkId())) {
             disconnect(connection, DisconnectReason.REPLACED, nowMs);
             return;
         }
@@ -300,7 +302,7 @@
         if (attempt != null && attempt != connection) {
             disconnect(attempt, DisconnectReason.REPLACED, nowMs);
         }
-        connection.goUp(nowMs);
+        connection.markUp(nowMs);
         route.linkUp(connection);
         metrics.links.inc();
         long incarnation = connection.handshake().peerIncarnation();
@@ -311,8 +313,8 @@
                 "incarnation",
                 incarnation,
                 "opened_here",
-                connection.handshake().initiator());
-        guarded(() -> listener.onLinkChanged(route.peer(), incarnation, true));
+                connection.handshake().isInitiator());
+        notifyListener(() -> listener.onLinkChanged(route.peer(), incarnation, true));
         schedule(route);
     }
 
@@ -335,18 +337,18 @@
             }
             LOG.debug("peer_connect_failed", "peer", route.peer(), "reason", reason.logName());
         }
-        timersSoon(nowMs);
+        scheduleTimers(nowMs);
     }
 
     private void linkDown(PeerConnection connection, PeerRoute route, DisconnectReason reason, long nowMs) {
         route.linkLost(connection.upSinceMs(), nowMs, options);
         route.backOff(nowMs, options, random.nextDouble());
         route.clear(metrics);
-        route.reportDown();
+        route.markReportedDown();
         metrics.links.dec();
         long incarnation = connection.handshake().peerIncarnation();
         LOG.info("peer_link_down", "peer", route.peer(), "incarnation", incarnation, "reason", reason.logName());
-        guarded(() -> listener.onLinkChanged(route.peer(), incarnation, false));
+        notifyListener(() -> listener.onLinkChanged(route.peer(), incarnation, false));
     }
 
     private void shutDown(long nowMs) throws IOException {
@@ -366,12 +368,12 @@
         while (route != null) {
             lingering.add(route);
             if (route.hasMessages()) {
-                route.wanted(nowMs + options.wantedForMs());
+                route.markWanted(nowMs + options.wantedForMs());
             }
             flushDueMs = Math.min(flushDueMs, nowMs + options.lingerMs());
             route = scheduled.poll();
         }
-        boolean prompt = promptly.getAndSet(false);
+        boolean prompt = flushRequested.getAndSet(false);
         if (!prompt && nowMs < flushDueMs) {
             return;
         }
@@ -380,7 +382,7 @@
         lingering.clear();
         for (PeerRoute next : due) {
             next.unschedule();
-            tend(next, nowMs);
+            maintain(next, nowMs);
             flush(next, nowMs);
         }
     }
@@ -391,8 +393,8 @@
             return;
         }
         try {
-            while (link.canTakeMore() && sockets.isOpen(link) && sendNext(route, link, nowMs)) {
-                // sendNext does the work; the loop ends with the ring's last message or the socket's patience.
+            while (link.hasSendCapacity() && sockets.isOpen(link) && sendNext(route, link, nowMs)) {
+                // sendNext does the work; the loop ends when the ring is empty or too many bytes are unsent.
             }
             if (sockets.isOpen(link)) {
                 link.flush(nowMs);
@@ -408,13 +410,13 @@
             return false;
         }
         link.onMessage(nowMs, options);
-        timersSoon(nowMs);
+        scheduleTimers(nowMs);
         if (link.append(message)) {
             return true;
         }
         metrics.dropped(message);
         LOG.error("peer_message_too_large", "error", ErrorType.PEER_FRAME_INVALID.number(), "peer", route.peer());
-        // Settings bodies use no numbered names, so the peer's decoder misses nothing and the link can stay.
+        // Settings bodies use no numbered names, so the peer's decoder stays in step and the link can be kept.
         if (!(message instanceof PeerMessage.SettingsBodies)) {
             disconnect(link, DisconnectReason.MESSAGE_TOO_LARGE, nowMs);
         }
@@ -423,40 +425,40 @@
 
     private void refill(PeerConnection connection, long nowMs) {
         PeerRoute route = connection.route();
-        if (connection.up() && route != null && route.hasMessages()) {
+        if (connection.isUp() && route != null && route.hasMessages()) {
             flush(route, nowMs);
         }
     }
 
     // Timers
 
-    private void timersSoon(long nowMs) {
-        timersDueMs = Math.min(timersDueMs, nowMs + BUSY_TIMER_MS);
+    private void scheduleTimers(long nowMs) {
+        timersDueMs = Math.min(timersDueMs, nowMs + BUSY_TIMER_INTERVAL_MS);
     }
 
     private void runTimers(long nowMs) {
         if (nowMs < timersDueMs) {
             return;
         }
-        timersDueMs = nowMs + QUIET_TIMER_MS;
+        timersDueMs = nowMs + IDLE_TIMER_INTERVAL_MS;
         for (PeerConnection connection : sockets.connections()) {
-            checkLife(connection, nowMs);
+            checkLiveness(connection, nowMs);
         }
         for (PeerRoute route : routes.values()) {
-            tend(route, nowMs);
+            maintain(route, nowMs);
             if (route.link() == null && route.wantsLink(nowMs)) {
-                timersSoon(nowMs);
+                scheduleTimers(nowMs);
             }
         }
     }
 
-    private void checkLife(PeerConnection connection, long nowMs) {
-        DisconnectReason reason = reasonToCut(connection, nowMs);
+    private void checkLiveness(PeerConnection connection, long nowMs) {
+        DisconnectReason reason = disconnectReason(connection, nowMs);
         if (reason != null) {
             disconnect(connection, reason, nowMs);
             return;
         }
-        if (connection.heartbeatDue(nowMs, options)) {
+        if (connection.isHeartbeatDue(nowMs, options)) {
             try {
                 connection.append(HEARTBEAT);
                 connection.flush(nowMs);
@@ -464,47 +466,47 @@
                 disconnect(connection, DisconnectReason.CLOSED, nowMs);
             }
         }
-        if (!connection.up() || connection.active(nowMs, options)) {
-            timersSoon(nowMs);
+        if (!connection.isUp() || connection.isActive(nowMs, options)) {
+            scheduleTimers(nowMs);
         }
     }
 
-    private @Nullable DisconnectReason reasonToCut(PeerConnection connection, long nowMs) {
-        if (connection.handshakeOverdue(nowMs, options)) {
+    private @Nullable DisconnectReason disconnectReason(PeerConnection connection, long nowMs) {
+        if (connection.isHandshakeOverdue(nowMs, options)) {
             return DisconnectReason.HANDSHAKE_TIMEOUT;
         }
-        if (connection.silent(nowMs, options)) {
+        if (connection.isSilent(nowMs, options)) {
             return DisconnectReason.SILENT;
         }
-        return connection.idle(nowMs, options) ? DisconnectReason.IDLE : null;
+        return connection.isIdle(nowMs, options) ? DisconnectReason.IDLE : null;
     }
 
-    /** Does for a route what is due: closes, gives up, connects. */
-    private void tend(PeerRoute route, long nowMs) {
+    /** Performs the due work of a route: closes its link, drops its messages or connects. */
+    private void maintain(PeerRoute route, long nowMs) {
         PeerConnection link = route.link();
         HostPort address = route.address();
-        if (route.obsolete()) {
+        if (route.isObsolete()) {
             remove(route, link, nowMs);
             return;
         }
-        if (route.takeCutRequest() && link != null) {
+        if (route.takeDisconnectRequest() && link != null) {
             disconnect(link, DisconnectReason.RECEIVER_FULL, nowMs);
             return;
         }
-        if (route.overflowed()) {
+        if (route.hasOverflowed()) {
             onRingFull(route, link, nowMs);
             return;
         }
-        if (route.unreachable(nowMs, options) && route.hasMessages()) {
-            giveUp(route);
+        if (route.isUnreachable(nowMs, options) && route.hasMessages()) {
+            dropUnreachable(route);
         }
-        if (address != null && route.connectDue(nowMs)) {
+        if (address != null && route.isConnectDue(nowMs)) {
             connect(route, address, nowMs);
         }
     }
 
     private void remove(PeerRoute route, @Nullable PeerConnection link, long nowMs) {
-        PeerRoute kept = routes.computeIfPresent(route.peer(), (id, known) -> known.obsolete() ? null : known);
+        PeerRoute kept = routes.computeIfPresent(route.peer(), (id, known) -> known.isObsolete() ? null : known);
         if (kept != null) {
             return;
         }
@@ -519,23 +521,23 @@
     }
 
     private void onRingFull(PeerRoute route, @Nullable PeerConnection link, long nowMs) {
-        // The peer takes less than it is sent. Dropping single messages would leave its view wrong without a sign;
-        // cutting the link makes both sides rebuild it.
+        // The peer receives more slowly than messages are sent. Dropping single messages would silently leave its state
+        // wrong; closing the link makes both sides rebuild their state.
         LOG.error("peer_ring_full", "error", ErrorType.RING_FULL.number(), "peer", route.peer());
         if (link != null) {
             disconnect(link, DisconnectReason.RING_FULL, nowMs);
         } else {
-            giveUp(route);
+            dropUnreachable(route);
         }
     }
 
-    private void giveUp(PeerRoute route) {
+    private void dropUnreachable(PeerRoute route) {
         route.clear(metrics);
-        if (!route.reportDown()) {
+        if (!route.markReportedDown()) {
             return;
         }
         LOG.warn("peer_unreachable", "error", ErrorType.PEER_UNREACHABLE.number(), "peer", route.peer());
-        guarded(() -> listener.onLinkChanged(route.peer(), 0, false));
+        notifyListener(() -> listener.onLinkChanged(route.peer(), 0, false));
     }
 
     private static String peerName(PeerConnection connection) {
@@ -545,7 +547,7 @@
                 : route.peer().name();
     }
 
-    private static void guarded(Runnable call) {
+    private static void notifyListener(Runnable call) {
         try {
             call.run();
         } catch (RuntimeException e) {
@@ -553,18 +555,18 @@
         }
     }
 
-    /** Hands what the sockets bring to the methods above. */
+    /** Forwards socket events to the methods of the enclosing class. */
     private final class SocketHandler implements PeerSockets.Handler {
         @Override
         public Handshake acceptorHandshake(long nowMs) {
-            timersSoon(nowMs);
+            scheduleTimers(nowMs);
             return Handshake.accept(self, fleetKey);
         }
 
         @Override
         public boolean onFrame(PeerConnection connection, byte[] bytes, int offset, int lengthBytes, long nowMs)
                 throws IOException {
-            return takeFrame(connection, bytes, offset, lengthBytes, nowMs);
+            return processFrame(connection, bytes, offset, lengthBytes, nowMs);
         }
 
         @Override
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerMetrics.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerMetrics.java
@@ -8,7 +8,7 @@
 import org.marjoramswitch.kernel.message.PeerMessage;
 import org.marjoramswitch.kernel.wire.MessageType;
 
-/** The counts of the links: {@code peer.*}, per message type where that helps. */
+/** Metrics of the peer links: {@code peer.*}, some of them per message type or disconnect reason. */
 final class PeerMetrics {
     final Meter bytesIn;
     final Meter bytesOut;
@@ -59,7 +59,7 @@
         increment(dropped, MessageType.of(message));
     }
 
-    void disconnect(DisconnectReason reason) {
+    void disconnected(DisconnectReason reason) {
         increment(cuts, reason);
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerRoute.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerRoute.java
@@ -9,17 +9,18 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * The way to one peer: its address, the bounded ring of messages for it, its link and the attempt to open one.
+ * Holds the state of the connection to one peer: address, bounded ring of queued messages, link and connection attempt.
  *
- * <p>Any thread may offer messages; all else belongs to the thread of {@link PeerLinks}.
+ * <p>Thread-safety: any thread may offer messages; everything else is confined to the thread of {@link PeerLinks}.
  *
- * <p><b>Which of two connections stays.</b> Both instances may connect at the same moment. If each kept the one it
- * opened or each the one it accepted, both would be closed, again and again. So the acceptor decides when the initiator
- * has proved itself, and by a rule that gives the same answer at both ends: where the initiator does not know of the
- * other connection, the one that the instance with the smaller name opened stays. An initiator names the last link that
- * it saw up. If that is the very link that the acceptor still holds, the initiator has lost it (the connection went
- * silent on one side only), and the new one replaces it at once, whoever opened it. For example, leith-a and leith-b
- * connect at once: leith-a refuses the proof of leith-b, leith-b takes that of leith-a and drops its own attempt.
+ * <p>Simultaneous open: both instances may connect at the same moment. If each kept the connection it opened, or each
+ * the one it accepted, both connections would be closed, repeatedly. The acceptor therefore decides once the initiator
+ * is authenticated, by a rule that gives the same result at both ends: if the initiator does not know of the other
+ * connection, the one opened by the instance with the smaller id is kept. An initiator sends the id of the last link
+ * that was up on its side. If that is the link the acceptor still holds, the initiator has lost it (the connection went
+ * silent in one direction only), and the new connection replaces it at once, whichever side opened it. For example, if
+ * leith-a and leith-b connect simultaneously, leith-a rejects the proof of leith-b, and leith-b accepts that of leith-a
+ * and drops its own attempt.
  */
 final class PeerRoute {
     private static final int FIRST_CHUNK_MESSAGES = 8;
@@ -31,7 +32,7 @@
     private volatile @Nullable HostPort address;
     private volatile boolean removed;
     private volatile boolean overflowed;
-    private volatile boolean cutRequested;
+    private volatile boolean disconnectRequested;
     private @Nullable PeerConnection link;
     private @Nullable PeerConnection attempt;
     private long lastLinkId;
@@ -65,7 +66,7 @@
         return this;
     }
 
-    /** The peer is no longer named; false where it never was, but came by itself. */
+    /** Removes the address of an unlisted peer; false if the peer has none because it opened the connection itself. */
     boolean removeAddress() {
         if (address == null) {
             return false;
@@ -75,12 +76,12 @@
         return true;
     }
 
-    /** Whether the route can go: its peer was taken off the list, or came by itself and has gone. */
-    boolean obsolete() {
+    /** Whether the route can be removed: its peer was unlisted, or never was listed and has no link. */
+    boolean isObsolete() {
         return removed || (address == null && link == null);
     }
 
-    /** Queues a message; false where the ring is full, and the link is then to be cut. */
+    /** Queues a message; false if the ring is full, in which case the link must be closed. */
     boolean offer(PeerMessage message) {
         if (overflowed || !ring.offer(message)) {
             overflowed = true;
@@ -89,7 +90,7 @@
         return true;
     }
 
-    /** True for the first caller since {@link #unschedule}. */
+    /** Returns true for the first call since {@link #unschedule}. */
     boolean schedule() {
         return scheduled.compareAndSet(false, true);
     }
@@ -98,19 +99,19 @@
         scheduled.set(false);
     }
 
-    /** Asks that the link, where there is one, be closed. */
-    void requestCut() {
-        cutRequested = true;
+    /** Requests that the link, if there is one, be closed. */
+    void requestDisconnect() {
+        disconnectRequested = true;
     }
 
-    /** True once for each request. */
-    boolean takeCutRequest() {
-        boolean requested = cutRequested;
-        cutRequested = false;
+    /** Returns whether closing was requested, and clears the request. */
+    boolean takeDisconnectRequest() {
+        boolean requested = disconnectRequested;
+        disconnectRequested = false;
         return requested;
     }
 
-    boolean overflowed() {
+    boolean hasOverflowed() {
         return overflowed;
     }
 
@@ -146,16 +147,16 @@
         return lastLinkId;
     }
 
-    /** A message was sent to the peer, which makes it worth while to open a lost link again. */
-    void wanted(long untilMs) {
+    /** Records that a message was sent to the peer; until the given time a lost link is reopened. */
+    void markWanted(long untilMs) {
         wantedUntilMs = untilMs;
     }
 
-    boolean connectDue(long nowMs) {
+    boolean isConnectDue(long nowMs) {
         return link == null && attempt == null && address != null && wantsLink(nowMs) && nowMs >= nextAttemptMs;
     }
 
-    /** Whether the thread has to come back to this route soon. */
+    /** Whether messages are queued or were sent recently, so that a link is needed. */
     boolean wantsLink(long nowMs) {
         return hasMessages() || nowMs < wantedUntilMs;
     }
@@ -171,7 +172,7 @@
         attempt = null;
     }
 
-    /** An attempt or a short-lived link failed: the next attempt waits, longer each time and at random. */
+    /** Delays the next connection attempt after a failure, with exponential backoff and jitter. */
     void backOff(long nowMs, PeerLinkOptions options, double random) {
         long delayMs = options.backoffMinMs() << Math.min(failures, MAX_BACKOFF_DOUBLINGS);
         failures++;
@@ -181,12 +182,12 @@
         }
     }
 
-    boolean unreachable(long nowMs, PeerLinkOptions options) {
+    boolean isUnreachable(long nowMs, PeerLinkOptions options) {
         return link == null && unreachableSinceMs >= 0 && nowMs - unreachableSinceMs > options.unreachableAfterMs();
     }
 
-    /** True the first time since the last link came up. */
-    boolean reportDown() {
+    /** Returns true for the first call since a link was last up. */
+    boolean markReportedDown() {
         boolean first = !reportedDown;
         reportedDown = true;
         return first;
@@ -202,26 +203,26 @@
 
     void linkLost(long upSinceMs, long nowMs, PeerLinkOptions options) {
         link = null;
-        // A link that is cut as soon as it is up must not be opened again without a pause.
+        // Keeps backing off while links are closed right after they come up.
         if (nowMs - upSinceMs > options.backoffMaxMs()) {
             failures = 0;
         }
     }
 
-    /** Whether a proved peer's connection becomes the link; the rule is in the class comment. */
+    /** Whether the connection of an authenticated peer becomes the link; the class comment states the rule. */
     boolean admits(InstanceId self, Handshake handshake, long peerLastLinkId) {
-        boolean peerSmaller = peer.compareTo(self) < 0;
+        boolean peerHasSmallerId = peer.compareTo(self) < 0;
         if (link != null) {
-            long held = link.handshake().peerIncarnation();
-            if (handshake.peerIncarnation() != held) {
-                return handshake.peerIncarnation() > held;
+            long linkIncarnation = link.handshake().peerIncarnation();
+            if (handshake.peerIncarnation() != linkIncarnation) {
+                return handshake.peerIncarnation() > linkIncarnation;
             }
-            boolean peerLostIt = peerLastLinkId == link.linkId();
-            return peerLostIt || !link.handshake().initiator() || peerSmaller;
+            boolean lostByPeer = peerLastLinkId == link.linkId();
+            return lostByPeer || !link.handshake().isInitiator() || peerHasSmallerId;
         }
-        boolean crossing = attempt != null
-                && attempt.handshake().proofSent()
+        boolean simultaneousOpen = attempt != null
+                && attempt.handshake().hasSentProof()
                 && attempt.handshake().peerIncarnation() == handshake.peerIncarnation();
-        return !crossing || peerSmaller;
+        return !simultaneousOpen || peerHasSmallerId;
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerSender.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerSender.java
@@ -5,6 +5,6 @@
 
 /** Sends messages to peers. */
 public interface PeerSender {
-    /** Queues a message for the link, which is opened where there is none; never blocks. */
+    /** Queues a message for the link to the peer and opens the link if there is none; never blocks. */
     void send(InstanceId to, PeerMessage message);
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerSockets.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerSockets.java
@@ -16,12 +16,12 @@
 import org.marjoramswitch.kernel.error.ErrorType;
 
 /**
- * The selector, the listening socket and the open connections of {@link PeerLinks}, whose thread runs all of this but
- * for {@link #wakeup}. What the connections bring goes to a {@link Handler}.
+ * Manages the selector, the listening socket and the open connections of {@link PeerLinks}. Events go to a
+ * {@link Handler}. Confined to the links thread, except for {@link #wakeup}.
  */
 final class PeerSockets {
     private static final KeyValueLog LOG = KeyValueLog.of(PeerLinks.class);
-    private static final int MAX_UNPROVED_CONNECTIONS = 64;
+    private static final int MAX_UNAUTHENTICATED_CONNECTIONS = 64;
     private static final int MAX_READS = 16;
     private static final int ACCEPT_BACKLOG = 128;
 
@@ -36,7 +36,7 @@
         this.metrics = metrics;
     }
 
-    /** Binds and listens; throws where the address cannot be bound. */
+    /** Binds the address and listens; throws if the address cannot be bound. */
     static PeerSockets open(HostPort bind, PeerMetrics metrics) throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open();
         server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -55,12 +55,12 @@
         return (InetSocketAddress) server.getLocalAddress();
     }
 
-    /** Ends a running or the next {@link #select} at once; for any thread. */
+    /** Makes the current or next {@link #select} return immediately. Thread-safe. */
     void wakeup() {
         selector.wakeup();
     }
 
-    /** Waits for the sockets, at most this long, and does what they are ready for. */
+    /** Waits at most this long for socket events and processes them. */
     void select(long timeoutMs, Handler handler) throws IOException {
         selector.select(key -> onReady(key, handler), timeoutMs);
     }
@@ -73,7 +73,7 @@
         return connections.contains(connection);
     }
 
-    /** Begins to connect; the handler hears of the end by frames or by a failure. */
+    /** Starts a non-blocking connect; the handler then receives frames or a failure. */
     PeerConnection connect(Handshake handshake, HostPort address, long nowMs) throws IOException {
         SocketChannel channel = SocketChannel.open();
         try {
@@ -89,13 +89,13 @@
         }
     }
 
-    /** Closes a connection; false where it was closed before. */
+    /** Closes a connection; false if it is already closed. */
     boolean close(PeerConnection connection, DisconnectReason reason) {
         if (!connections.remove(connection)) {
             return false;
         }
         connection.close();
-        metrics.disconnect(reason);
+        metrics.disconnected(reason);
         return true;
     }
 
@@ -115,7 +115,7 @@
         } catch (IOException e) {
             handler.onFailure(connection, DisconnectReason.CLOSED, nowMs);
         } catch (RuntimeException e) {
-            // One peer's connection must not take down the thread that serves all of them.
+            // A fault in one peer's connection must not stop the thread that serves all of them.
             LOG.error(e, "peer_link_error", "error", ErrorType.INTERNAL.number());
             handler.onFailure(connection, DisconnectReason.FRAME_INVALID, nowMs);
         }
@@ -152,12 +152,12 @@
     }
 
     private void accept(SocketChannel channel, Handler handler, long nowMs) throws IOException {
-        long unproved = connections.stream()
+        long unauthenticatedCount = connections.stream()
                 .filter(connection -> connection.route() == null)
                 .count();
-        if (unproved >= MAX_UNPROVED_CONNECTIONS) {
-            // Whoever connects without the key holds a place only until the handshake's timeout, and only so many.
-            metrics.disconnect(DisconnectReason.TOO_MANY);
+        if (unauthenticatedCount >= MAX_UNAUTHENTICATED_CONNECTIONS) {
+            // Clients without the key hold a connection only until the handshake timeout, and their number is bounded.
+            metrics.disconnected(DisconnectReason.TOO_MANY);
             channel.close();
             return;
         }
@@ -177,7 +177,7 @@
 
     private void read(PeerConnection connection, Handler handler, long nowMs) throws IOException {
         int bytes = connection.read(nowMs);
-        // A peer that sends without end must not keep the thread from the others.
+        // Bounds the reads, so that a peer that sends continuously does not starve the others.
         for (int reads = 1; bytes > 0 && reads <= MAX_READS; reads++) {
             if (!connection.readFrames((array, offset, length) ->
                     !isOpen(connection) || handler.onFrame(connection, array, offset, length, nowMs))) {
@@ -191,19 +191,19 @@
         }
     }
 
-    /** Takes what the sockets bring. */
+    /** Receives the events of the sockets. */
     interface Handler {
-        /** Somebody connected; with which handshake to meet them. */
+        /** Returns the handshake for a newly accepted connection. */
         Handshake acceptorHandshake(long nowMs);
 
-        /** A whole frame came; false where it is broken. */
+        /** Processes a complete frame; returns false if it is invalid. */
         boolean onFrame(PeerConnection connection, byte[] bytes, int offset, int lengthBytes, long nowMs)
                 throws IOException;
 
-        /** The socket takes bytes again. */
+        /** The socket accepts bytes again. */
         void onWritable(PeerConnection connection, long nowMs);
 
-        /** The connection is of no more use and is to be closed by the handler. */
+        /** The connection has failed; the handler must close it. */
         void onFailure(PeerConnection connection, DisconnectReason reason, long nowMs);
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/package-info.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/package-info.java
@@ -1,4 +1,4 @@
-/** TCP links between instances. */
+/** Authenticated TCP links between instances. */
 @NullMarked
 package org.marjoramswitch.daemon.peer;
 
--- a/daemon/src/test/java/org/marjoramswitch/daemon/peer/PeerLinksTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/peer/PeerLinksTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void messagesGoBothWaysInOrderAndABurstSharesFrames() throws Exception {
+    void messagesArriveInOrderInBothDirectionsAndABurstSharesFrames() throws Exception {
         PeerLinks a = start(A, 1, KEY, listenerA, metricsA);
         PeerLinks b = start(B, 1, KEY, listenerB, metricsB);
         a.setPeers(Map.of(B, address(b)));
@@ -63,9 +63,10 @@
     }
 
     @Test
-    void aLinkThatIsCutComesUpAnew() throws Exception {
-        // B could not take in a message of A and has the link cut. Both ends hear that it is down, so that both send
-        // their whole state over the next one, which A opens as it still wants the peer.
+    void aDisconnectedLinkIsReopened() throws Exception {
+        // B has no capacity to accept a message from A and disconnects. Both ends must be notified that the link is
+        // down,
+        // so that both send their complete state over the next link, which A opens because it still wants the peer.
         PeerLinks a = start(A, 1, KEY, listenerA, metricsA);
         PeerLinks b = start(B, 1, KEY, listenerB, metricsB);
         a.setPeers(Map.of(B, address(b)));
@@ -82,10 +83,11 @@
     }
 
     @Test
-    void aPeerWithAnotherFleetKeyGetsNoLink() throws Exception {
-        // A's message never arrives: B answers the handshake with a proof made with another key, A closes the
-        // connection, counts it, and once the peer has been out of reach for a second drops what waits and says
-        // that the peer is down. B hears nothing of it.
+    void aPeerWithAnotherFleetKeyIsNotLinked() throws Exception {
+        // B replies to the handshake with a proof made with another key. A closes the connection and counts it; once
+        // the
+        // peer has been unreachable for a second, A drops the queued message and reports the peer down. B's listener
+        // receives nothing.
         PeerLinks a = start(A, 1, KEY, listenerA, metricsA);
         PeerLinks b = start(B, 1, "another key", listenerB, metricsB);
         a.setPeers(Map.of(B, address(b)));
@@ -99,10 +101,10 @@
     }
 
     @Test
-    void aReflectedChallengeProvesNothing() throws Exception {
-        // An attacker without the key sits at B's address. It takes A's nonce, has A itself answer it on a second
-        // connection, and plays that answer back as B's. A's proof names A in the acceptor's place, so A refuses
-        // it and counts the attempt.
+    void aReflectedChallengeIsRejected() throws Exception {
+        // An attacker without the key listens at B's address. It sends A's nonce to A on a second connection and
+        // replays
+        // A's reply as B's. A's proof contains A's id in the acceptor's position, so A must reject and count it.
         PeerLinks a = start(A, 1, KEY, listenerA, metricsA);
         try (RawPeer attacker = new RawPeer()) {
             a.setPeers(Map.of(B, attacker.address()));
@@ -119,7 +121,7 @@
 
             RawPeer.awaitClose(fromA);
 
-            // The same proof does not serve as the initiator's either.
+            // The same proof is not valid as the initiator's proof either.
             RawPeer.send(toA, HandshakeCodec.encode(new HandshakeMessage.Proof(0, challenge.proof())));
             RawPeer.awaitClose(toA);
             await(() -> count(metricsA, "peer.unauthenticated") >= 2);
@@ -128,9 +130,10 @@
     }
 
     @Test
-    void aPeerThatGoesSilentIsReportedAndANewLinkIsOpened() throws Exception {
+    void aSilentPeerIsReportedDownAndANewLinkIsOpened() throws Exception {
         // B completes the handshake and then neither reads nor sends, while its connection stays open. After the
-        // silence timeout A closes it and reports B down; a new connection works, and A's next message arrives.
+        // silence
+        // timeout A must close it and report B down; a new link opens, and A's next message arrives.
         PeerLinks a = start(A, 1, KEY, listenerA, metricsA);
         Member b = member(B, 1);
         try (RawPeer peer = new RawPeer()) {
@@ -150,7 +153,7 @@
     }
 
     @Test
-    void aLinkCutInTheMiddleOfAFrameDeliversNoPartOfIt() throws Exception {
+    void aFrameCutOffByADisconnectIsNotDelivered() throws Exception {
         PeerLinks a = start(A, 1, KEY, listenerA, metricsA);
         try (RawPeer peer = new RawPeer()) {
             a.setPeers(Map.of(B, peer.address()));
@@ -166,7 +169,7 @@
     }
 
     @Test
-    void aFrameBeyondTheBoundEndsTheLinkBeforeItIsRead() throws Exception {
+    void aFrameAboveTheMaximumSizeClosesTheLinkBeforeItIsRead() throws Exception {
         PeerLinks a = start(A, 1, KEY, listenerA, metricsA);
         try (RawPeer peer = new RawPeer()) {
             a.setPeers(Map.of(B, peer.address()));
@@ -181,9 +184,10 @@
     }
 
     @Test
-    void aRestartedPeerIsANewIncarnation() throws Exception {
-        // B is replaced by an empty process at the same address. A sees the old link go and, because it has sent
-        // to B lately, opens a new one by itself, which carries the new incarnation.
+    void aRestartedPeerIsReportedWithItsNewIncarnation() throws Exception {
+        // B is replaced by a new process without state at the same address. A loses the old link and, because it sent
+        // to
+        // B recently, opens a new one without a further message, which reports the new incarnation.
         PeerLinks a = start(A, 1, KEY, listenerA, metricsA);
         PeerLinks b = start(B, 1, KEY, listenerB, metricsB);
         a.setPeers(Map.of(B, address(b)));
@@ -203,26 +207,27 @@
     }
 
     @Test
-    void whenBothConnectAtOnceOneLinkStays() throws Exception {
-        // Both instances open a connection to the other at the same moment, ten times over. Each time the two ends
-        // agree on the one that stays, and messages of both arrive over it.
+    void simultaneousConnectsLeaveExactlyOneLink() throws Exception {
+        // Both instances connect to each other at the same moment, in ten rounds. Each time both ends must keep the
+        // same
+        // connection, and messages arrive over it in both directions.
         for (int round = 0; round < 10; round++) {
             MetricRegistry registryA = new MetricRegistry();
             MetricRegistry registryB = new MetricRegistry();
-            RecordingListener hearsA = new RecordingListener();
-            RecordingListener hearsB = new RecordingListener();
-            PeerLinks a = start(A, 1, KEY, hearsA, registryA);
-            PeerLinks b = start(B, 1, KEY, hearsB, registryB);
+            RecordingListener roundListenerA = new RecordingListener();
+            RecordingListener roundListenerB = new RecordingListener();
+            PeerLinks a = start(A, 1, KEY, roundListenerA, registryA);
+            PeerLinks b = start(B, 1, KEY, roundListenerB, registryB);
             a.setPeers(Map.of(B, address(b)));
             b.setPeers(Map.of(A, address(a)));
 
             a.send(B, HELLO);
             b.send(A, HELLO);
 
-            assertEquals(HELLO, hearsA.awaitMessage());
-            assertEquals(HELLO, hearsB.awaitMessage());
-            hearsA.expectChange(B, 1, true);
-            hearsB.expectChange(A, 1, true);
+            assertEquals(HELLO, roundListenerA.awaitMessage());
+            assertEquals(HELLO, roundListenerB.awaitMessage());
+            roundListenerA.expectChange(B, 1, true);
+            roundListenerB.expectChange(A, 1, true);
             assertEquals(1, count(registryA, "peer.links"));
             assertEquals(1, count(registryB, "peer.links"));
             a.close();
@@ -231,12 +236,12 @@
     }
 
     @Test
-    void aPeerThatTakesTooLittleIsCutAndWhatWaitedIsCounted() throws Exception {
-        // B stays connected but reads nothing. The socket fills, then the ring; A cuts the link, counts what it
-        // drops and reports B down, so that both sides rebuild their state in place of missing single messages.
-        PeerLinkOptions patient =
+    void aPeerThatDoesNotReadIsDisconnectedAndDroppedMessagesAreCounted() throws Exception {
+        // B stays connected but reads nothing. The socket buffer fills, then the ring. A must close the link, count the
+        // dropped messages and report B down, so that both sides rebuild their state instead of losing single messages.
+        PeerLinkOptions longTimeouts =
                 new PeerLinkOptions(2, 100, 60_000, 5_000, 30_000, 300_000, 1_000, 1_000, 20, 2_000, 16);
-        PeerLinks a = PeerLinks.start(member(A, 1), ANY_PORT, KEY, listenerA, metricsA, patient);
+        PeerLinks a = PeerLinks.start(member(A, 1), ANY_PORT, KEY, listenerA, metricsA, longTimeouts);
         started.add(a);
         PeerMessage large = new PeerMessage.SettingsBodies(1, "digest", Map.of("team", "x".repeat(1 << 20)));
         try (RawPeer peer = new RawPeer()) {
@@ -255,7 +260,7 @@
     }
 
     @Test
-    void aPeerTakenOffTheListLosesItsLink() throws Exception {
+    void theLinkToAnUnlistedPeerIsClosed() throws Exception {
         PeerLinks a = start(A, 1, KEY, listenerA, metricsA);
         PeerLinks b = start(B, 1, KEY, listenerB, metricsB);
         a.setPeers(Map.of(B, address(b)));
@@ -293,7 +298,7 @@
     private static void await(BooleanSupplier condition) {
         long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < deadlineNs, "the condition did not come true");
+            assertTrue(System.nanoTime() < deadlineNs, "the condition was not met in time");
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(2));
         }
     }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/peer/RawPeer.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/peer/RawPeer.java
@@ -11,7 +11,7 @@
 import org.marjoramswitch.kernel.model.Member;
 import org.marjoramswitch.kernel.wire.FrameCodec;
 
-/** A peer played by the test byte for byte, so that it can fail at any point. */
+/** A peer whose bytes the test controls, so that it can fail at any point of the protocol. */
 final class RawPeer implements AutoCloseable {
     private static final int TIMEOUT_MS = 10_000;
 
@@ -32,7 +32,7 @@
         return socket;
     }
 
-    /** Accepts a connection and plays the acceptor's side of the handshake to its end. */
+    /** Accepts a connection and completes the acceptor's side of the handshake. */
     Socket acceptLink(Member self, String fleetKey) throws IOException {
         Socket socket = accept();
         Handshake handshake = Handshake.accept(self, fleetKey);
@@ -66,7 +66,7 @@
     /** Reads until the other side closes the connection. */
     static void awaitClose(Socket socket) throws IOException {
         while (socket.getInputStream().read() >= 0) {
-            // What comes before the end does not matter here.
+            // The received bytes are discarded.
         }
     }
 
--- a/daemon/src/test/java/org/marjoramswitch/daemon/peer/RecordingListener.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/peer/RecordingListener.java
@@ -9,7 +9,7 @@
 import org.marjoramswitch.kernel.message.PeerMessage;
 import org.marjoramswitch.kernel.model.InstanceId;
 
-/** Keeps what the links bring until the test asks for it. */
+/** Records the messages and link changes that a test then awaits. */
 final class RecordingListener implements PeerListener {
     private static final int TIMEOUT_S = 20;
 
@@ -28,7 +28,7 @@
 
     PeerMessage awaitMessage() throws InterruptedException {
         PeerMessage message = messages.poll(TIMEOUT_S, TimeUnit.SECONDS);
-        assertNotNull(message, "no message came");
+        assertNotNull(message, "no message was received in time");
         return message;
     }
 
