--- a/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
@@ -50,15 +50,16 @@
     private volatile boolean refusing;
     private Map<TargetId, TargetSettings> targets = Map.of();
 
-    private ForwardingDaemon(LocalSettings local, KernelOptions options, Platform platform, StartedComponents components)
+    private ForwardingDaemon(
+            LocalSettings local, KernelOptions options, Platform platform, StartedComponents components)
             throws IOException {
         this.platform = platform;
         this.core = InstanceCore.start(
                 local,
                 components,
                 options.withMaxWaiting(local.maxWaiting()),
-                (worker, metrics) ->
-                        components.add(UndertowTargetClient.start(worker, platform.targets(), platform.protocol(), metrics)),
+                (worker, metrics) -> components.add(
+                        UndertowTargetClient.start(worker, platform.targets(), platform.protocol(), metrics)),
                 platform.callers().times().addressKeepMs());
         SharedWatchStore store = components.add(SharedWatchStore.start(
                 platform.store().apply(core),
--- a/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
@@ -78,7 +78,11 @@
     private volatile long generation;
 
     private InstanceCore(
-            LocalSettings settings, StartedComponents components, KernelOptions options, Targets targets, long addressKeepMs)
+            LocalSettings settings,
+            StartedComponents components,
+            KernelOptions options,
+            Targets targets,
+            long addressKeepMs)
             throws IOException {
         this.settings = settings;
         this.components = components;
@@ -107,7 +111,11 @@
 
     /** @param addressKeepMs how long callers may use an address answer */
     static InstanceCore start(
-            LocalSettings settings, StartedComponents components, KernelOptions options, Targets targets, long addressKeepMs)
+            LocalSettings settings,
+            StartedComponents components,
+            KernelOptions options,
+            Targets targets,
+            long addressKeepMs)
             throws IOException {
         return new InstanceCore(settings, components, options, targets, addressKeepMs);
     }
@@ -127,7 +135,8 @@
             throws IOException {
         onView = views;
         PeerRouter router = PeerRouter.of(directory, decisions, messages, keys, this::onLinkLost);
-        PeerLinks started = components.add(PeerLinks.start(self, settings.peers(), settings.fleetKey(), router, metrics));
+        PeerLinks started =
+                components.add(PeerLinks.start(self, settings.peers(), settings.fleetKey(), router, metrics));
         links = started;
         peers.setLinks(started);
         MembershipLoop joined = components.add(MembershipLoop.start(
