--- a/daemon/src/main/java/org/marjoramswitch/daemon/log/KeyValueLog.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/log/KeyValueLog.java
@@ -4,8 +4,9 @@
 import org.jboss.logging.Logger;
 
 /**
- * Writes one line of key=value pairs for each event, beginning with {@code event=}. Values that hold white space,
- * quotes, equals signs or control characters are quoted, so that a line is split without knowing its event.
+ * Logs one line of key=value pairs per event, starting with {@code event=}. Values that are empty or contain white
+ * space, quotes, backslashes, equals signs or control characters are quoted, so that a line can be parsed without
+ * knowing its event.
  */
 public final class KeyValueLog {
     private final Logger logger;
@@ -31,7 +32,7 @@
         log(Logger.Level.ERROR, event, keyValues);
     }
 
-    /** An error with the stack trace of its cause, which follows the line. */
+    /** Logs an error line followed by the stack trace of its cause. */
     public void error(Throwable cause, String event, Object... keyValues) {
         logger.error(line(event, keyValues), cause);
     }
@@ -40,7 +41,7 @@
         log(Logger.Level.DEBUG, event, keyValues);
     }
 
-    /** An event whose fields are at hand as a map, in log order. */
+    /** Logs the fields in the iteration order of the map. */
     public void info(String event, Map<String, Object> fields) {
         if (!logger.isInfoEnabled()) {
             return;
@@ -56,7 +57,7 @@
         }
     }
 
-    /** The line of an event. */
+    /** Formats the line of an event. */
     public static String line(String event, Object... keyValues) {
         StringBuilder line = new StringBuilder("event=").append(event);
         for (int i = 0; i + 1 < keyValues.length; i += 2) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/log/QueueAppender.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/log/QueueAppender.java
@@ -8,23 +8,23 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Queues lines for a writer of its own, and never makes anybody wait. When the reader of standard output stands still, the
- * queue fills and further lines are lost; a duty that waited in place of that would stop every request. What was lost is
- * counted, and told in the log itself as soon as lines get through again: a gap that nobody knows of would make the log
- * lie to whoever looks for a request in it.
+ * Queues log lines for a writer thread and never blocks the caller. When the reader of standard output stops reading,
+ * the queue fills and further lines are dropped, because an event loop that waited would stop every request. Dropped
+ * lines are counted, and the log itself reports their number as soon as lines are written again, so that a reader who
+ * looks for a request does not take a missing line for an event that never happened.
  */
 public final class QueueAppender extends AsyncAppender {
     private static final AtomicLong DROPPED = new AtomicLong();
 
-    private final AtomicLong untold = new AtomicLong();
+    private final AtomicLong unreported = new AtomicLong();
 
-    /** For the configuration, which creates appenders by name and sets their properties. */
+    /** Called by the Logback configuration, which creates appenders by class name and sets their properties. */
     public QueueAppender() {
         setNeverBlock(true);
         setDiscardingThreshold(0);
     }
 
-    /** Lines lost since the process began. */
+    /** Number of lines dropped since the process started. */
     public static long dropped() {
         return DROPPED.get();
     }
@@ -34,24 +34,24 @@
         int free = getRemainingCapacity();
         if (free == 0) {
             DROPPED.incrementAndGet();
-            untold.incrementAndGet();
+            unreported.incrementAndGet();
             return;
         }
         super.append(event);
-        // With one place free the line that tells of it would be lost in its turn.
+        // With one free slot, which the event takes, the line that reports the drop would be dropped itself.
         if (free > 1) {
-            tellOfLost();
+            reportDropped();
         }
     }
 
-    private void tellOfLost() {
-        long lost = untold.get() == 0 ? 0 : untold.getAndSet(0);
+    private void reportDropped() {
+        long lost = unreported.get() == 0 ? 0 : unreported.getAndSet(0);
         if (lost == 0 || !(getContext() instanceof LoggerContext context)) {
             return;
         }
         String line = KeyValueLog.line("log_lines_dropped", "count", lost, "inAll", dropped());
         String name = QueueAppender.class.getName();
-        // Put into the queue here: an appender does not take what is logged while it appends.
+        // Queued directly, because an appender ignores events that are logged while it appends.
         super.append(new LoggingEvent(name, context.getLogger(name), Level.WARN, line, null, null));
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/log/package-info.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/log/package-info.java
@@ -1,4 +1,4 @@
-/** The form of the daemon's log lines. */
+/** Formatting and queueing of the daemon's log lines. */
 @NullMarked
 package org.marjoramswitch.daemon.log;
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/membership/MembershipLoop.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/membership/MembershipLoop.java
@@ -37,21 +37,22 @@
 import org.marjoramswitch.kernel.wire.DatagramResult;
 
 /**
- * Runs the failure detector: one thread, one UDP socket at the same host and port number as the peers' TCP address.
+ * Runs the failure detector on one thread with one UDP socket, at the same host and port number as the TCP address for
+ * peers.
  *
- * <p>What other threads say (a list read, a generation, leaving) replaces what they said before, so none of it queues
- * up. Only hints of lost links are queued, in a small ring; a hint that finds it full is dropped and counted, since the
- * member is probed in its turn anyway.
+ * <p>Updates from other threads (a list of instances, a generation, leaving) replace the previous one of their kind and
+ * are not queued. Only hints of lost links are queued, in a small ring; if it is full, the hint is dropped and counted,
+ * because every member is probed periodically anyway.
  */
 public final class MembershipLoop implements AutoCloseable {
     private static final KeyValueLog LOG = KeyValueLog.of(MembershipLoop.class);
-    private static final long TICK_MS = 50;
-    private static final long GENERATIONS_MS = 500;
+    private static final long TICK_INTERVAL_MS = 50;
+    private static final long GENERATIONS_INTERVAL_MS = 500;
     private static final long CLOSE_TIMEOUT_MS = 2_000;
-    private static final int MAX_DATAGRAMS_AT_ONCE = 256;
-    private static final int RING_HINTS = 256;
-    /** Only IP numbers are sent to, so that no name is ever looked up on this thread. */
-    private static final Pattern IP_NUMBER = Pattern.compile("[0-9a-fA-F.:]+");
+    private static final int MAX_DATAGRAMS_PER_PASS = 256;
+    private static final int MAX_QUEUED_HINTS = 256;
+    /** Only literal IP addresses are used, so that this thread never blocks on a name lookup. */
+    private static final Pattern IP_ADDRESS = Pattern.compile("[0-9a-fA-F.:]+");
 
     private final FailureDetector detector;
     private final DatagramCodec codec;
@@ -63,9 +64,9 @@
     private final MembershipMetrics metrics;
     private final Thread thread;
     private final ByteBuffer received = ByteBuffer.allocate(DatagramCodec.MAX_BYTES + 1);
-    private final AtomicReference<@Nullable Map<InstanceId, ListedInstance>> nextList = new AtomicReference<>();
+    private final AtomicReference<@Nullable Map<InstanceId, ListedInstance>> pendingList = new AtomicReference<>();
     private final AtomicLong generation = new AtomicLong();
-    private final Queue<InstanceId> lostLinks = new MpscArrayQueue<>(RING_HINTS);
+    private final Queue<InstanceId> lostLinks = new MpscArrayQueue<>(MAX_QUEUED_HINTS);
     private volatile Map<InstanceId, HostPort> addresses = Map.of();
     private volatile Map<InstanceId, Long> generations = Map.of();
     private volatile boolean leaving;
@@ -95,7 +96,7 @@
         this.thread.setDaemon(true);
     }
 
-    /** As the other {@code start}, for one that does not care about generations. */
+    /** Like the other {@code start}, without a listener for newer generations. */
     public static MembershipLoop start(
             Member self, HostPort bind, String fleetKey, Consumer<FleetView> views, MetricRegistry registry)
             throws IOException {
@@ -103,10 +104,11 @@
     }
 
     /**
-     * Binds and starts the duty's thread; throws where the address cannot be bound.
+     * Binds the address and starts the thread; throws if the address cannot be bound.
      *
-     * @param views told of each new view, by the duty's thread, and must not block
-     * @param generationsSeen told, likewise, of an instance whose generation is newer than the one announced here
+     * @param views receives each new view on the loop's thread; must not block
+     * @param generationsSeen notified on the loop's thread of an instance whose generation of settings is newer than
+     *     the one announced here; must not block
      */
     public static MembershipLoop start(
             Member self,
@@ -122,49 +124,49 @@
         Selector selector = Selector.open();
         channel.register(selector, SelectionKey.OP_READ);
         MembershipMetrics metrics = MembershipMetrics.create(registry);
-        MembershipLoop duty = new MembershipLoop(self, fleetKey, channel, selector, views, generationsSeen, metrics);
-        duty.thread.start();
-        return duty;
+        MembershipLoop loop = new MembershipLoop(self, fleetKey, channel, selector, views, generationsSeen, metrics);
+        loop.thread.start();
+        return loop;
     }
 
     public InetSocketAddress boundAddress() {
         return boundAddress;
     }
 
-    /** The addresses of the other members of the view; already new when the view's listener is told. */
+    /** The addresses of the other members of the view; updated before the view's listener is notified. */
     public Map<InstanceId, HostPort> addresses() {
         return addresses;
     }
 
-    /** The generation of settings that each member was last heard to have in force. */
+    /** The generation of settings that each member last announced as in force. */
     public Map<InstanceId, Long> generations() {
         return generations;
     }
 
-    /** The platform's list of instances was read. */
+    /** Applies a newly read list of instances. */
     public void listRead(Map<InstanceId, ListedInstance> instances) {
-        nextList.set(Map.copyOf(instances));
+        pendingList.set(Map.copyOf(instances));
     }
 
-    /** This generation of settings is in force here. */
+    /** Announces the generation of settings in force on this instance; an older one is ignored. */
     public void announceGeneration(long newGeneration) {
         generation.accumulateAndGet(newGeneration, Math::max);
     }
 
-    /** The link to a member broke or fell silent; the member is probed before its turn. */
+    /** Reports that the link to a member broke or fell silent, so that the member is probed ahead of schedule. */
     public void linkLost(InstanceId member) {
         if (!lostLinks.offer(member)) {
             metrics.hintsDropped.inc();
         }
     }
 
-    /** This instance begins its graceful shutdown. */
+    /** Announces that this instance begins its graceful shutdown. */
     public void leave() {
         leaving = true;
         selector.wakeup();
     }
 
-    /** Tells others that this instance is gone, and ends. */
+    /** Notifies the other members that this instance departs, and stops the thread. */
     @Override
     public void close() {
         closed = true;
@@ -183,7 +185,7 @@
                 selector.select(Math.max(1, nextTickMs - nowMs()));
                 selector.selectedKeys().clear();
                 receiveAll();
-                takeNotices(nowMs());
+                applyPendingUpdates(nowMs());
                 tick(nowMs());
             }
             perform(detector.onDepart(nowMs()));
@@ -197,7 +199,7 @@
     }
 
     private void receiveAll() throws IOException {
-        for (int i = 0; i < MAX_DATAGRAMS_AT_ONCE; i++) {
+        for (int i = 0; i < MAX_DATAGRAMS_PER_PASS; i++) {
             received.clear();
             SocketAddress from = channel.receive(received);
             if (from == null) {
@@ -213,17 +215,17 @@
         metrics.bytesIn.mark(lengthBytes);
         DatagramResult result = codec.decode(received.array(), lengthBytes);
         if (result instanceof DatagramResult.Malformed malformed) {
-            // Counted and not logged: a stranger could fill the log with one small datagram after another.
-            metrics.malformed(malformed.fault());
+            // Counted and not logged, because an unauthenticated sender could flood the log with small datagrams.
+            metrics.countMalformed(malformed.fault());
         } else if (result instanceof DatagramResult.Decoded decoded) {
             MemberAddress address = MemberAddress.of(from.getAddress().getHostAddress(), from.getPort());
-            // One datagram must not end the thread that answers all others.
-            guarded(() -> perform(detector.onDatagram(address, decoded.datagram(), nowMs)));
+            // A fault in processing one datagram must not stop the thread.
+            runGuarded(() -> perform(detector.onDatagram(address, decoded.datagram(), nowMs)));
         }
     }
 
-    private void takeNotices(long nowMs) {
-        Map<InstanceId, ListedInstance> list = nextList.getAndSet(null);
+    private void applyPendingUpdates(long nowMs) {
+        Map<InstanceId, ListedInstance> list = pendingList.getAndSet(null);
         if (list != null) {
             perform(detector.onListRead(list, nowMs));
         }
@@ -240,10 +242,10 @@
         if (nowMs < nextTickMs) {
             return;
         }
-        nextTickMs = nowMs + TICK_MS;
+        nextTickMs = nowMs + TICK_INTERVAL_MS;
         perform(detector.onTick(nowMs));
         if (nowMs >= nextGenerationsMs) {
-            nextGenerationsMs = nowMs + GENERATIONS_MS;
+            nextGenerationsMs = nowMs + GENERATIONS_INTERVAL_MS;
             generations = Map.copyOf(detector.generations());
         }
     }
@@ -253,11 +255,11 @@
             if (action instanceof MembershipAction.Send send) {
                 send(send.to(), send.datagram());
             } else if (action instanceof MembershipAction.ViewChanged changed) {
-                show(changed);
+                publishView(changed);
             } else if (action instanceof GenerationSeen seen) {
-                guarded(() -> generationsSeen.accept(seen));
+                runGuarded(() -> generationsSeen.accept(seen));
             } else if (action instanceof MembershipAction.MemberChanged changed) {
-                report(changed);
+                reportMemberChange(changed);
             }
         }
     }
@@ -265,37 +267,37 @@
     private void send(MemberAddress to, Datagram datagram) {
         byte[] bytes = codec.encode(datagram);
         if (bytes.length > DatagramCodec.MAX_BYTES
-                || !IP_NUMBER.matcher(to.host()).matches()) {
-            metrics.notSent.inc();
+                || !IP_ADDRESS.matcher(to.host()).matches()) {
+            metrics.datagramsNotSent.inc();
             return;
         }
         try {
             int sentBytes = channel.send(ByteBuffer.wrap(bytes), new InetSocketAddress(to.host(), to.port()));
             metrics.datagramsOut.inc(sentBytes > 0 ? 1 : 0);
-            metrics.notSent.inc(sentBytes > 0 ? 0 : 1);
+            metrics.datagramsNotSent.inc(sentBytes > 0 ? 0 : 1);
             metrics.bytesOut.mark(sentBytes);
         } catch (IOException | IllegalArgumentException e) {
-            // A datagram may be lost on any path; the protocol allows for it.
-            metrics.notSent.inc();
+            // The protocol tolerates lost datagrams.
+            metrics.datagramsNotSent.inc();
         }
     }
 
-    private void show(MembershipAction.ViewChanged changed) {
+    private void publishView(MembershipAction.ViewChanged changed) {
         Map<InstanceId, HostPort> newAddresses = new TreeMap<>();
         changed.addresses().forEach((id, address) -> newAddresses.put(id, HostPort.of(address.host(), address.port())));
         addresses = Map.copyOf(newAddresses);
-        metrics.members(changed.view().members().size());
+        metrics.setMembers(changed.view().members().size());
         LOG.info(
                 "membership_view",
                 "members",
                 changed.view().members().size(),
                 "eligible",
                 changed.view().eligible().size());
-        guarded(() -> views.accept(changed.view()));
+        runGuarded(() -> views.accept(changed.view()));
     }
 
-    private void report(MembershipAction.MemberChanged changed) {
-        metrics.changed(changed.change());
+    private void reportMemberChange(MembershipAction.MemberChanged changed) {
+        metrics.countChange(changed.change());
         LOG.info(
                 "member_" + changed.change().name().toLowerCase(Locale.ROOT),
                 "instance",
@@ -304,7 +306,7 @@
                 changed.incarnation());
     }
 
-    private static void guarded(Runnable call) {
+    private static void runGuarded(Runnable call) {
         try {
             call.run();
         } catch (RuntimeException e) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/membership/MembershipMetrics.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/membership/MembershipMetrics.java
@@ -7,13 +7,13 @@
 import org.marjoramswitch.kernel.membership.MembershipAction.Change;
 import org.marjoramswitch.kernel.wire.WireFault;
 
-/** The counts of the membership duty: {@code membership.*}. */
+/** Metrics of the membership loop: {@code membership.*}. */
 final class MembershipMetrics {
     final Meter bytesIn;
     final Meter bytesOut;
     final Counter datagramsIn;
     final Counter datagramsOut;
-    final Counter notSent;
+    final Counter datagramsNotSent;
     final Counter hintsDropped;
 
     private final MetricRegistry registry;
@@ -25,7 +25,7 @@
         bytesOut = registry.meter("membership.bytes_out");
         datagramsIn = registry.counter("membership.datagrams_in");
         datagramsOut = registry.counter("membership.datagrams_out");
-        notSent = registry.counter("membership.datagrams_not_sent");
+        datagramsNotSent = registry.counter("membership.datagrams_not_sent");
         hintsDropped = registry.counter("membership.hints_dropped");
         registry.gauge("membership.members", () -> () -> members);
     }
@@ -34,16 +34,16 @@
         return new MembershipMetrics(registry);
     }
 
-    void members(int present) {
+    void setMembers(int present) {
         members = present;
     }
 
-    void changed(Change change) {
+    void countChange(Change change) {
         registry.counter("membership.changes." + change.name().toLowerCase(Locale.ROOT))
                 .inc();
     }
 
-    void malformed(WireFault fault) {
+    void countMalformed(WireFault fault) {
         registry.counter("membership.malformed." + fault.name().toLowerCase(Locale.ROOT))
                 .inc();
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/membership/package-info.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/membership/package-info.java
@@ -1,4 +1,4 @@
-/** The duty that runs the failure detector over UDP. */
+/** The event loop that runs the failure detector over UDP. */
 @NullMarked
 package org.marjoramswitch.daemon.membership;
 
--- a/daemon/src/test/java/org/marjoramswitch/daemon/log/QueueAppenderTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/log/QueueAppenderTest.java
@@ -18,17 +18,17 @@
 import org.slf4j.LoggerFactory;
 
 class QueueAppenderTest {
-    private static final int QUEUE = 16;
+    private static final int QUEUE_SIZE = 16;
     private static final int LINES = 200;
-    private static final int RUN_SECONDS = 10;
-    private static final Pattern TOLD = Pattern.compile("event=log_lines_dropped count=([0-9]+)");
+    private static final int TIMEOUT_S = 10;
+    private static final Pattern DROPPED_REPORT = Pattern.compile("event=log_lines_dropped count=([0-9]+)");
 
     /**
-     * Callers notice nothing when the reader of standard output stops: whoever logs goes on at once, though the writer
-     * hangs in the middle of a line. When the reader is back, the log says how many lines are missing.
+     * When the reader of standard output stops, the writer thread blocks in the middle of a line. Threads that log must
+     * not block, and once the reader continues, the log must report the number of dropped lines.
      */
     @Test
-    void aReaderThatStopsHoldsNobodyUpAndTheGapIsTold() throws Exception {
+    void aBlockedReaderDoesNotBlockLoggingAndTheDroppedLinesAreReported() throws Exception {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         BlockedStream stream = new BlockedStream();
         QueueAppender queue = queueInto(context, stream);
@@ -44,10 +44,10 @@
             written.countDown();
         });
         writer.start();
-        assertTrue(written.await(RUN_SECONDS, TimeUnit.SECONDS), "logging waited for the reader");
+        assertTrue(written.await(TIMEOUT_S, TimeUnit.SECONDS), "logging blocked on the reader");
         long dropped = QueueAppender.dropped() - droppedBefore;
-        // The writer took a queue of lines along before it hung in the first, and another one is full.
-        assertTrue(dropped >= LINES - 2 * QUEUE, "dropped " + dropped);
+        // The writer took one queue of lines before it blocked on the first line, and a second queue is full.
+        assertTrue(dropped >= LINES - 2 * QUEUE_SIZE, "dropped " + dropped);
         stream.open.countDown();
         while (queue.getNumberOfElementsInQueue() > 0) {
             Thread.onSpinWait();
@@ -56,17 +56,18 @@
         queue.stop();
         logger.detachAppender(queue);
         String text = stream.bytes.toString(StandardCharsets.UTF_8);
-        // The gap is told in two where the writer took its first lines along only after some were lost already.
-        assertEquals(dropped, told(text), text);
+        // The count is split over two lines if some lines were dropped before the writer took its first batch.
+        assertEquals(dropped, reportedDropped(text), text);
         assertEquals(
                 LINES - dropped,
                 text.lines().filter(line -> line.startsWith("line ")).count());
     }
 
-    private static long told(String text) {
-        return TOLD.matcher(text)
+    private static long reportedDropped(String text) {
+        return DROPPED_REPORT
+                .matcher(text)
                 .results()
-                .mapToLong(told -> Long.parseLong(told.group(1)))
+                .mapToLong(match -> Long.parseLong(match.group(1)))
                 .sum();
     }
 
@@ -75,20 +76,20 @@
         encoder.setContext(context);
         encoder.setPattern("%msg%n");
         encoder.start();
-        OutputStreamAppender<ILoggingEvent> writing = new OutputStreamAppender<>();
-        writing.setContext(context);
-        writing.setEncoder(encoder);
-        writing.setOutputStream(stream);
-        writing.start();
+        OutputStreamAppender<ILoggingEvent> writer = new OutputStreamAppender<>();
+        writer.setContext(context);
+        writer.setEncoder(encoder);
+        writer.setOutputStream(stream);
+        writer.start();
         QueueAppender queue = new QueueAppender();
         queue.setContext(context);
-        queue.setQueueSize(QUEUE);
-        queue.addAppender(writing);
+        queue.setQueueSize(QUEUE_SIZE);
+        queue.addAppender(writer);
         queue.start();
         return queue;
     }
 
-    /** A pipe that nobody reads until it is opened. */
+    /** A stream whose writes block until {@code open} is counted down. */
     private static final class BlockedStream extends OutputStream {
         private final CountDownLatch open = new CountDownLatch(1);
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
--- a/daemon/src/test/java/org/marjoramswitch/daemon/membership/MembershipLoopTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/membership/MembershipLoopTest.java
@@ -29,60 +29,59 @@
     private static final HostPort ANY_PORT = HostPort.of("127.0.0.1", 0);
     private static final DataCentreId DATA_CENTRE = DataCentreId.of("leith-a");
 
-    private final List<MembershipLoop> duties = new ArrayList<>();
+    private final List<MembershipLoop> loops = new ArrayList<>();
     private final Map<InstanceId, FleetView> views = new ConcurrentHashMap<>();
     private final Map<InstanceId, Long> seen = new ConcurrentHashMap<>();
     private final MetricRegistry metrics = new MetricRegistry();
 
     @AfterEach
     void closeAll() {
-        duties.forEach(MembershipLoop::close);
+        loops.forEach(MembershipLoop::close);
     }
 
     @Test
-    void instancesFindEachOtherAndSeeLeavingAndGone() throws Exception {
+    void instancesDiscoverEachOtherAndDetectDrainingAndDeparture() throws Exception {
         start("a", "key");
         start("b", "key");
         start("c", "key");
-        duties.get(0).listRead(list());
+        loops.get(0).listRead(list());
         await(() -> viewSize("a") == 3 && viewSize("b") == 3 && viewSize("c") == 3);
-        int port = duties.get(1).boundAddress().getPort();
-        assertEquals(HostPort.of("127.0.0.1", port), duties.get(0).addresses().get(InstanceId.of("b")));
+        int port = loops.get(1).boundAddress().getPort();
+        assertEquals(HostPort.of("127.0.0.1", port), loops.get(0).addresses().get(InstanceId.of("b")));
 
-        duties.get(2).leave();
+        loops.get(2).leave();
         await(() -> views.get(InstanceId.of("a")).eligible().size() == 2);
         assertEquals(3, viewSize("a"));
 
-        duties.get(2).close();
+        loops.get(2).close();
         await(() -> viewSize("a") == 2 && viewSize("b") == 2);
     }
 
     @Test
-    void aNewerGenerationIsSeenWithItsInstance() throws Exception {
+    void aNewerGenerationIsReportedWithItsInstance() throws Exception {
         start("a", "key");
         start("b", "key");
-        duties.get(0).listRead(list());
-        duties.get(0).announceGeneration(12);
+        loops.get(0).listRead(list());
+        loops.get(0).announceGeneration(12);
         await(() -> Long.valueOf(12).equals(seen.get(InstanceId.of("a"))));
-        await(() -> duties.get(1).generations().getOrDefault(InstanceId.of("a"), 0L) == 12);
+        await(() -> loops.get(1).generations().getOrDefault(InstanceId.of("a"), 0L) == 12);
     }
 
     @Test
-    void strangersAndNonsenseAreCountedAndChangeNothing() throws Exception {
-        // An instance with another fleet key and a sender of random bytes reach the socket. Neither is taken into the
-        // view, both are counted, and the instances of the fleet find each other all the same.
+    void unauthenticatedAndMalformedDatagramsAreCountedAndIgnored() throws Exception {
+        // The socket receives datagrams from an instance with another fleet key and datagrams of random bytes. Neither
+        // sender may enter the view, both are counted, and the instances of the fleet still discover each other.
         start("a", "key");
         start("stranger", "another key");
         start("b", "key");
-        duties.get(0).listRead(list());
-        duties.get(1).listRead(list());
+        loops.get(0).listRead(list());
+        loops.get(1).listRead(list());
         Random random = new Random(7);
         try (DatagramSocket socket = new DatagramSocket()) {
             for (int i = 0; i < 100; i++) {
                 byte[] bytes = new byte[1 + random.nextInt(1_400)];
                 random.nextBytes(bytes);
-                socket.send(
-                        new DatagramPacket(bytes, bytes.length, duties.get(0).boundAddress()));
+                socket.send(new DatagramPacket(bytes, bytes.length, loops.get(0).boundAddress()));
             }
         }
         await(() -> viewSize("a") == 2 && viewSize("b") == 2);
@@ -93,7 +92,7 @@
     private void start(String name, String key) throws Exception {
         InstanceId id = InstanceId.of(name);
         Member self = Member.of(id, 1, DATA_CENTRE, false);
-        duties.add(MembershipLoop.start(
+        loops.add(MembershipLoop.start(
                 self,
                 ANY_PORT,
                 key,
@@ -104,9 +103,9 @@
 
     private Map<InstanceId, ListedInstance> list() {
         Map<InstanceId, ListedInstance> list = new HashMap<>();
-        for (int i = 0; i < duties.size(); i++) {
+        for (int i = 0; i < loops.size(); i++) {
             MemberAddress address =
-                    MemberAddress.of("127.0.0.1", duties.get(i).boundAddress().getPort());
+                    MemberAddress.of("127.0.0.1", loops.get(i).boundAddress().getPort());
             list.put(InstanceId.of("listed-" + i), ListedInstance.of(address, DATA_CENTRE));
         }
         return list;
@@ -120,7 +119,7 @@
     private static void await(BooleanSupplier condition) {
         long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < deadlineNs, "the condition did not come true");
+            assertTrue(System.nanoTime() < deadlineNs, "the condition was not met in time");
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
         }
     }
