--- a/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
@@ -71,7 +71,7 @@
         this.callers = components.add(ForwardServer.start(
                 new ForwardServer.Parts(
                         local.callers(),
-                        platform.others().apply(new View(this)),
+                        platform.additionalListeners().apply(new InstanceView(this)),
                         platform.callers(),
                         platform.decoder(),
                         core.decisions(),
@@ -109,7 +109,7 @@
      * @param store starts the client of the key-value service
      * @param settingsKey where the operators' settings stand
      * @param targetPrefix where targets register themselves
-     * @param others the addresses beside the callers', each with what it serves
+     * @param additionalListeners the addresses beside the callers', each with what it serves
      * @param reload reads the settings file once more
      * @param stopAcceptingMs how long after the begin of a graceful shutdown requests are still taken: callers go on
      *     with an address for as long as they were told to keep it
@@ -124,12 +124,12 @@
             TargetClientOptions targets,
             CallerOptions callers,
             CallDecoder decoder,
-            Function<View, Map<HostPort, HttpHandler>> others,
+            Function<InstanceView, Map<HostPort, HttpHandler>> additionalListeners,
             Supplier<LocalSettingsResult> reload,
             long stopAcceptingMs) {}
 
     /** What others may see of an instance. */
-    public record View(ForwardingDaemon instance) {
+    public record InstanceView(ForwardingDaemon instance) {
         public Health health() {
             return instance.health();
         }
