--- a/daemon/src/main/java/org/marjoramswitch/daemon/Daemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/Daemon.java
@@ -170,7 +170,7 @@
     }
 
     /** True while the instance takes new requests. */
-    public boolean ready() {
+    public boolean isReady() {
         return health().ready();
     }
 
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/path/FailureTest.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/path/FailureTest.java
@@ -195,7 +195,7 @@
         assertEquals(503, refused.status(), refused.toString());
         assertEquals("not-run", refused.run());
         assertTrue(refused.retryAfterSeconds() > 0, refused.toString());
-        assertFalse(first.ready());
+        assertFalse(first.isReady());
         fleet.platform().recover();
         TestFleet.await("settings from the platform", first::ready);
         assertTrue(fleet.caller("entry-1", CUSTOMER).chat(body(2, 5)).join().answered());
--- a/tool/src/main/java/org/marjoramswitch/tool/demo/DemoFleet.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/demo/DemoFleet.java
@@ -43,7 +43,7 @@
 
     /** True once every instance is ready and knows all others. */
     boolean isReady() {
-        return daemons.stream().allMatch(daemon -> daemon.ready() && daemon.reachableInstances() == daemons.size());
+        return daemons.stream().allMatch(daemon -> daemon.isReady() && daemon.reachableInstances() == daemons.size());
     }
 
     List<Daemon> daemons() {
