--- a/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
@@ -50,15 +50,16 @@
     private volatile boolean refusing;
     private Map<TargetId, TargetSettings> targets = Map.of();
 
-    private ForwardingDaemon(LocalSettings local, KernelOptions options, Platform platform, StartedComponents components)
+    private ForwardingDaemon(
+            LocalSettings local, KernelOptions options, Platform platform, StartedComponents components)
             throws IOException {
         this.platform = platform;
         this.core = InstanceCore.start(
                 local,
                 components,
                 options.withMaxWaiting(local.maxWaiting()),
-                (worker, metrics) ->
-                        components.add(UndertowTargetClient.start(worker, platform.targets(), platform.protocol(), metrics)),
+                (worker, metrics) -> components.add(
+                        UndertowTargetClient.start(worker, platform.targets(), platform.protocol(), metrics)),
                 platform.callers().times().addressKeepMs());
         SharedWatchStore store = components.add(SharedWatchStore.start(
                 platform.store().apply(core),
@@ -70,7 +71,7 @@
         this.callers = components.add(ForwardServer.start(
                 new ForwardServer.Parts(
                         local.callers(),
-                        platform.others().apply(new View(this)),
+                        platform.additionalListeners().apply(new InstanceView(this)),
                         platform.callers(),
                         platform.decoder(),
                         core.decisions(),
@@ -108,7 +109,7 @@
      * @param store starts the client of the key-value service
      * @param settingsKey where the operators' settings stand
      * @param targetPrefix where targets register themselves
-     * @param others the addresses beside the callers', each with what it serves
+     * @param additionalListeners the addresses beside the callers', each with what it serves
      * @param reload reads the settings file once more
      * @param stopAcceptingMs how long after the begin of a graceful shutdown requests are still taken: callers go on
      *     with an address for as long as they were told to keep it
@@ -123,12 +124,12 @@
             TargetClientOptions targets,
             CallerOptions callers,
             CallDecoder decoder,
-            Function<View, Map<HostPort, HttpHandler>> others,
+            Function<InstanceView, Map<HostPort, HttpHandler>> additionalListeners,
             Supplier<LocalSettingsResult> reload,
             long stopAcceptingMs) {}
 
     /** What others may see of an instance. */
-    public record View(ForwardingDaemon instance) {
+    public record InstanceView(ForwardingDaemon instance) {
         public Health health() {
             return instance.health();
         }
