--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/path/FailureTest.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/path/FailureTest.java
@@ -175,7 +175,7 @@
         fleet.platform().refuseConnections();
         assertTrue(fleet.caller("entry-1", CUSTOMER).chat(body(1, 5)).join().answered());
         Daemon restarted = fleet.restartInstance("entry-1");
-        TestFleet.await("settings from a peer", restarted::ready);
+        TestFleet.await("settings from a peer", restarted::isReady);
         Answer answer = fleet.caller("entry-1", CUSTOMER).chat(body(2, 5)).join();
         assertTrue(answer.answered(), answer.toString());
         assertTrue(fleet.caller("entry-2", CUSTOMER).chat(body(3, 5)).join().answered());
@@ -197,7 +197,7 @@
         assertTrue(refused.retryAfterSeconds() > 0, refused.toString());
         assertFalse(first.isReady());
         fleet.platform().recover();
-        TestFleet.await("settings from the platform", first::ready);
+        TestFleet.await("settings from the platform", first::isReady);
         assertTrue(fleet.caller("entry-1", CUSTOMER).chat(body(2, 5)).join().answered());
     }
 
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/path/TestFleet.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/path/TestFleet.java
@@ -131,7 +131,7 @@
     }
 
     void awaitReady() {
-        await("instances ready", () -> daemons.values().stream().allMatch(Daemon::ready));
+        await("instances ready", () -> daemons.values().stream().allMatch(Daemon::isReady));
         await(
                 "instances in every view",
                 () -> daemons.values().stream().allMatch(daemon -> daemon.reachableInstances() >= daemons.size()));
