--- a/daemon/src/main/java/org/marjoramswitch/daemon/BaseInstance.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/BaseInstance.java
@@ -2,14 +2,14 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** What all assemblies of an instance do alike: end. */
+/** Implements the shutdown methods shared by all kinds of instances. */
 abstract class BaseInstance implements RunningInstance {
-    /** What the assembly's own duties are joined to. */
+    /** The core that the components of the instance are connected to. */
     abstract InstanceCore core();
 
     @Override
     public CompletableFuture<Boolean> drained() {
-        return core().drainState().whole();
+        return core().drainState().result();
     }
 
     @Override
--- a/daemon/src/main/java/org/marjoramswitch/daemon/Daemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/Daemon.java
@@ -35,15 +35,15 @@
 import org.xnio.XnioWorker;
 
 /**
- * One instance of the product with all its duties joined.
+ * One instance of the router with all its components.
  *
- * <p>Everything hangs on the deciding duty: callers, peers, targets and the platform's service feed it events, and it
- * has its decisions carried out by them. The duties start from the inside out, so that none speaks before what it
- * speaks to is there, and close in the reverse order.
+ * <p>The decision loop is central: callers, peers, targets and the key-value store feed it events and carry out its
+ * decisions. Components start in dependency order, so that each finds the components it uses running, and close in the
+ * reverse order.
  */
 public final class Daemon extends BaseInstance {
-    /** The settings' schema allows no pool a longer wait for a target. */
-    private static final long LONGEST_WAIT_MS = 300_000;
+    /** The longest wait for a target that the settings schema allows for a pool. */
+    private static final long MAX_WAIT_MS = 300_000;
 
     private final LocalSettings settings;
     private final StartedComponents components;
@@ -66,7 +66,7 @@
                 this::startTargets,
                 callerOptions.times().addressKeepMs());
         EtcdGatewayStore store = startStore();
-        core.keepCrashesIn(store);
+        core.persistCrashesIn(store);
         startLoadReader();
         this.configuration = components.add(ConfigurationDuty.start(
                 core.self(), store, core.peers(), this::onSettings, ConfigurationOptions.DEFAULT, core.metrics()));
@@ -86,7 +86,7 @@
     /**
      * Starts an instance; it is ready once it has accepted settings.
      *
-     * @throws RuntimeException where it cannot start, caused by a {@link java.net.BindException} where one of its
+     * @throws RuntimeException if the instance cannot start; caused by a {@link java.net.BindException} if one of its
      *     addresses cannot be bound
      */
     public static Daemon start(LocalSettings settings) {
@@ -124,7 +124,7 @@
                 core.self().incarnation(),
                 core.metrics(),
                 core.clock()));
-        return PlatformClaims.of(claims, LONGEST_WAIT_MS, core.clock());
+        return PlatformClaims.of(claims, MAX_WAIT_MS, core.clock());
     }
 
     private CallerServer startCallers(CallerOptions options, RequestKeys keys, Claims claims) {
@@ -147,7 +147,7 @@
         core.decisions().offer(new Event.SettingsAccepted(accepted));
     }
 
-    /** The engines whose load matters here; plain services report none. */
+    /** The model engines that this instance arbitrates; plain services report no load. */
     private List<TargetSettings> arbitratedEngines() {
         FleetSettings current = fleetSettings;
         return status().arbitratedTargets().stream()
@@ -159,27 +159,27 @@
         return pool != null && pool.kind() == TargetKind.MODEL_ENGINE;
     }
 
-    /** Where callers connect; tells the port where port 0 was asked for. */
+    /** The address that callers connect to, with the actual port if the configured port is 0. */
     public HostPort callersAddress() {
         return callers.boundAddress();
     }
 
-    /** Where peers connect; tells the port where port 0 was asked for. */
+    /** The address that peers connect to, with the actual port if the configured port is 0. */
     public HostPort peersAddress() {
         return core.peersAddress();
     }
 
-    /** True while the instance takes new requests. */
+    /** Whether the instance accepts new requests. */
     public boolean isReady() {
         return health().ready();
     }
 
-    /** How many instances this one knows to be there and not leaving, itself included. */
+    /** Number of known instances that are alive and not draining, including this one. */
     public int reachableInstances() {
         return core.directory().eligible().size();
     }
 
-    /** What the kernel was about some milliseconds ago. */
+    /** A snapshot of the kernel's state, which may be some milliseconds old. */
     public KernelStatus status() {
         return core.kernel().status();
     }
@@ -189,24 +189,24 @@
     }
 
     private Health health() {
-        if (core.drainState().begun()) {
+        if (core.drainState().hasBegun()) {
             return Health.notReady("the instance is leaving");
         }
         return fleetSettings.generation() == 0 ? Health.notReady("no accepted settings yet") : Health.READY;
     }
 
-    /** The instance says that it leaves, refuses new requests and finishes the ones that it has. */
+    /** Announces that the instance is draining, rejects new requests and finishes the open ones. */
     @Override
     public void drain() {
         if (core.leave()) {
-            core.finish();
+            core.finishDrain();
         }
     }
 
-    /** The file holds addresses and names, which are the instance's for its whole life. */
+    /** Only logs: the file holds addresses and names, which are fixed for the lifetime of the instance. */
     @Override
     public void reload() {
-        core.logReload("kept", "the file is read at the start only");
+        core.logReload("kept", "the settings file is read only at startup");
     }
 
     @Override
--- a/daemon/src/main/java/org/marjoramswitch/daemon/DaemonMain.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/DaemonMain.java
@@ -12,11 +12,11 @@
 import org.marjoramswitch.daemon.settings.LocalSettingsResult;
 
 /**
- * The daemon's process: {@code marjoramswitchd --settings FILE}. SIGTERM or SIGINT begins a graceful shutdown; another
- * one, or the deadline in the settings, ends it. {@link ExitCode} lists how the process may end.
+ * Main class of the daemon: {@code marjoramswitchd --settings FILE}. SIGTERM or SIGINT starts a graceful shutdown; a
+ * second signal, or the deadline in the settings, ends it. {@link ExitCode} lists the exit statuses.
  */
 public final class DaemonMain {
-    /** Read by logback.xml; set before the first logger is made. */
+    /** Read by logback.xml; must be set before the first logger is created. */
     private static final String LOG_LEVEL_PROPERTY = "marjoramswitch.logLevel";
 
     private static final String SETTINGS_OPTION = "--settings";
@@ -32,41 +32,41 @@
             System.err.println("usage: marjoramswitchd " + SETTINGS_OPTION + " FILE");
             return ExitCode.USAGE;
         }
-        SettingsFileWatch file = SettingsFileWatch.of(Path.of(args[1]));
+        SettingsFileWatch watch = SettingsFileWatch.of(Path.of(args[1]));
         LocalSettingsResult read = LocalSettingsReader.read(Path.of(args[1]));
         if (read instanceof LocalSettingsResult.Invalid invalid) {
-            report(args[1], invalid);
+            reportFaults(args[1], invalid);
             return ExitCode.SETTINGS_INVALID;
         }
         LocalSettings settings = ((LocalSettingsResult.Valid) read).settings();
         System.setProperty(LOG_LEVEL_PROPERTY, settings.logLevel());
-        return serve(file, () -> Daemon.start(settings));
+        return serve(watch, () -> Daemon.start(settings));
     }
 
-    private static void report(String file, LocalSettingsResult.Invalid invalid) {
+    private static void reportFaults(String file, LocalSettingsResult.Invalid invalid) {
         invalid.faults()
                 .forEach(fault -> System.err.println(KeyValueLog.line(
                         "settings_fault", "file", file, "pointer", fault.pointer(), "reason", fault.reason())));
     }
 
     /**
-     * Starts an instance and runs it to its end, by signals or by itself.
+     * Starts an instance and runs it until it has shut down.
      *
-     * @param file holds the instance's own settings, which were read after the watch was made; the instance is told when it
-     *     has changed
+     * @param watch watches the file with the instance's local settings, which were read after the watch was created;
+     *     the instance is notified of changes
      */
-    public static ExitCode serve(SettingsFileWatch file, Supplier<? extends RunningInstance> start) {
+    public static ExitCode serve(SettingsFileWatch watch, Supplier<? extends RunningInstance> start) {
         KeyValueLog log = KeyValueLog.of(DaemonMain.class);
-        // Heard from the first moment: a signal that came during the start would end the process by its default.
+        // Registered before the start: the default action of a signal during the start would end the process.
         CompletableFuture<RunningInstance> started = new CompletableFuture<>();
         AtomicInteger signals = new AtomicInteger();
         ProcessSignals.handle(
-                () -> onceStarted(started, instance -> onEnding(instance, signals.incrementAndGet())),
+                () -> onceStarted(started, instance -> onTermination(instance, signals.incrementAndGet())),
                 () -> onceStarted(started, RunningInstance::reload));
-        try (file;
+        try (watch;
                 RunningInstance instance = start.get()) {
             started.complete(instance);
-            file.start(instance::reload);
+            watch.start(instance::reload);
             return instance.drained().join() ? ExitCode.OK : ExitCode.CUT_SHORT;
         } catch (RuntimeException fault) {
             ExitCode exitCode = isAddressUnavailable(fault) ? ExitCode.ADDRESS_UNAVAILABLE : ExitCode.INTERNAL;
@@ -79,7 +79,7 @@
         CompletableFuture<Void> unused = started.thenAccept(handler);
     }
 
-    private static void onEnding(RunningInstance instance, int count) {
+    private static void onTermination(RunningInstance instance, int count) {
         if (count == 1) {
             instance.drain();
         } else {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/DeferredPeerSender.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/DeferredPeerSender.java
@@ -7,8 +7,8 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * Stands for the links in the duties that the links themselves depend on. What is sent before the links are there is
- * dropped, as it is for a peer without a link; a link that comes up registers anew.
+ * Forwards messages to the peer links once they have started; used by the components that the links depend on. Messages
+ * sent earlier are dropped, as for a peer without a link, because the sender registers again when a link comes up.
  */
 final class DeferredPeerSender implements PeerSender {
     private volatile @Nullable PeerLinks links;
@@ -25,7 +25,7 @@
         }
     }
 
-    /** Breaks the link to a peer; it comes up again by itself. */
+    /** Closes the link to a peer; it is reopened automatically. */
     void disconnect(InstanceId peer) {
         PeerLinks current = links;
         if (current != null) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/Drain.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/Drain.java
@@ -8,11 +8,11 @@
 import org.marjoramswitch.daemon.log.KeyValueLog;
 
 /**
- * A graceful shutdown: waits on a thread of its own until the instance's work has ended, its deadline is reached or it
- * is closed.
+ * Tracks a graceful shutdown: a dedicated thread waits until all work of the instance has ended, the deadline is
+ * reached or the drain is closed.
  *
- * <p>An instance without work still stays for a moment. Callers and peers that have not yet heard that it leaves are
- * then refused or redirected with a proper answer; otherwise they would meet a closed port.
+ * <p>An instance without work still stays up for {@code LINGER_MS}, so that callers and peers that do not yet know that
+ * it is draining receive a rejection or a redirect instead of a refused connection.
  */
 final class Drain implements AutoCloseable {
     private static final long LINGER_MS = 1_500;
@@ -22,7 +22,7 @@
     private final BooleanSupplier finished;
     private final LongSupplier clockMs;
     private final long deadlineMs;
-    private final CompletableFuture<Boolean> whole = new CompletableFuture<>();
+    private final CompletableFuture<Boolean> result = new CompletableFuture<>();
     private final AtomicBoolean begun = new AtomicBoolean();
     private volatile boolean closed;
 
@@ -34,27 +34,27 @@
 
     /**
      * @param finished whether all work has ended
-     * @param deadlineMs how long the shutdown may take
+     * @param deadlineMs maximum duration of the shutdown
      */
     static Drain of(BooleanSupplier finished, LongSupplier clockMs, long deadlineMs) {
         return new Drain(finished, clockMs, deadlineMs);
     }
 
-    /** True for the first caller only, which then makes the instance leave. */
+    /** Returns true for the first call only, whose caller must then announce the shutdown. */
     boolean begin() {
         return begun.compareAndSet(false, true);
     }
 
-    boolean begun() {
+    boolean hasBegun() {
         return begun.get();
     }
 
-    /** Completed with true where all work ended in time. */
-    CompletableFuture<Boolean> whole() {
-        return whole;
+    /** Completes with true if all work ended in time, otherwise with false. */
+    CompletableFuture<Boolean> result() {
+        return result;
     }
 
-    void watch() {
+    void startWaiting() {
         Thread thread = new Thread(this::await, "drain");
         thread.setDaemon(true);
         thread.start();
@@ -67,12 +67,12 @@
             boolean done = finished.getAsBoolean();
             if ((done && elapsedMs >= LINGER_MS) || elapsedMs >= deadlineMs) {
                 LOG.info("drain_ended", "whole", done, "elapsedMs", elapsedMs);
-                whole.complete(done);
+                result.complete(done);
                 return;
             }
             pause();
         }
-        whole.complete(false);
+        result.complete(false);
     }
 
     private void pause() {
@@ -83,10 +83,10 @@
         }
     }
 
-    /** Ends the shutdown where it stands. */
+    /** Ends the wait immediately. */
     @Override
     public void close() {
         closed = true;
-        whole.complete(false);
+        result.complete(false);
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/ExitCode.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/ExitCode.java
@@ -1,16 +1,16 @@
 package org.marjoramswitch.daemon;
 
-/** How the daemon's process ends. */
+/** Exit statuses of the daemon process. */
 public enum ExitCode {
-    /** A graceful shutdown that cut no request. */
+    /** A graceful shutdown that let every request finish. */
     OK(0),
-    /** The command line cannot be understood. */
+    /** The command line is invalid. */
     USAGE(2),
-    /** The settings file cannot be read or is not valid. */
+    /** The settings file cannot be read or is invalid. */
     SETTINGS_INVALID(3),
-    /** One of the instance's own addresses cannot be bound. */
+    /** One of the instance's addresses cannot be bound. */
     ADDRESS_UNAVAILABLE(4),
-    /** A fault of the program. */
+    /** An internal error. */
     INTERNAL(5),
     /** A graceful shutdown ended by a second signal or by its deadline, with requests still open. */
     CUT_SHORT(6);
@@ -21,7 +21,7 @@
         this.status = status;
     }
 
-    /** The status of the process. */
+    /** The exit status of the process. */
     public int status() {
         return status;
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
@@ -35,19 +35,19 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * One instance on a platform with routes, targets and callers of its own ways: the same core as {@link Daemon}, with
- * the components that a {@link Platform} gives in place of the product's own interfaces.
+ * One instance on a platform with its own protocols for routes, targets and callers: the same core as {@link Daemon},
+ * with the components that a {@link Platform} supplies instead of the router's own interfaces.
  */
 public final class ForwardingDaemon extends BaseInstance {
-    /** The pause between two readings of the list of instances, and after one that failed. */
-    private static final long LIST_PAUSE_MS = 500;
+    /** Delay between two reads of the list of instances, also after a failed read. */
+    private static final long LIST_INTERVAL_MS = 500;
 
     private final Platform platform;
     private final InstanceCore core;
     private final RoutedSettingsDuty configuration;
     private final ForwardServer callers;
     private volatile RoutedSettings settings = RoutedSettings.NONE;
-    private volatile boolean refusing;
+    private volatile boolean finishing;
     private Map<TargetId, TargetSettings> targets = Map.of();
 
     private ForwardingDaemon(
@@ -67,7 +67,7 @@
                 core.peers(),
                 core.clock(),
                 core.worker().getIoThread()));
-        core.keepCrashesIn(store);
+        core.persistCrashesIn(store);
         this.callers = components.add(ForwardServer.start(
                 new ForwardServer.Parts(
                         local.callers(),
@@ -76,7 +76,7 @@
                         platform.decoder(),
                         core.decisions(),
                         () -> settings,
-                        () -> core.drainState().begun(),
+                        () -> core.drainState().hasBegun(),
                         core.decisions()::lagMs,
                         core.clock()),
                 core.worker(),
@@ -91,28 +91,29 @@
                 core.metrics()));
         core.join(
                 (from, message) -> store.onMessage(from, message) || configuration.onMessage(from, message),
-                PeerRouter.Keys.NONE,
+                PeerRouter.KeyMessageHandler.NONE,
                 store::onView,
                 seen -> configuration.versionSeen(seen.instance(), seen.generation()));
         components.add(TargetList.start(
                 store, platform.targetPrefix(), platform.targetDecoder(), this::onTargets, core.clock()));
         InstanceRegistration registration = components.add(InstanceRegistration.start(store, local));
-        components.add(FleetListReader.start(store, LIST_PAUSE_MS, core.clock().startMs(), core.metrics(), list -> {
-            core.onList(list);
-            registration.listed(list.instances().containsKey(local.instance()));
-        }));
+        components.add(FleetListReader.start(
+                store, LIST_INTERVAL_MS, core.clock().startMs(), core.metrics(), list -> {
+                    core.onList(list);
+                    registration.listed(list.instances().containsKey(local.instance()));
+                }));
     }
 
     /**
-     * What an instance needs of its platform.
+     * The platform-specific components and options of an instance.
      *
-     * @param store starts the client of the key-value service
-     * @param settingsKey where the operators' settings stand
-     * @param targetPrefix where targets register themselves
-     * @param additionalListeners the addresses beside the callers', each with what it serves
-     * @param reload reads the settings file once more
-     * @param stopAcceptingMs how long after the begin of a graceful shutdown requests are still taken: callers go on
-     *     with an address for as long as they were told to keep it
+     * @param store starts the client of the key-value store
+     * @param settingsKey the key of the operators' settings
+     * @param targetPrefix the key prefix under which targets register themselves
+     * @param additionalListeners the addresses other than the callers', each with its handler
+     * @param reload rereads the settings file
+     * @param stopAcceptingMs how long requests are still accepted after a graceful shutdown begins, because callers use
+     *     an address for as long as its response allows them to keep it
      */
     public record Platform(
             Function<StoreContext, KeyValueStore> store,
@@ -128,7 +129,7 @@
             Supplier<LocalSettingsResult> reload,
             long stopAcceptingMs) {}
 
-    /** What others may see of an instance. */
+    /** The read-only view of an instance for the handlers of additional listeners. */
     public record InstanceView(ForwardingDaemon instance) {
         public Health health() {
             return instance.health();
@@ -138,7 +139,7 @@
             return instance.core.directory();
         }
 
-        /** Serves the instance's counters and histograms. */
+        /** Returns a handler that serves the instance's counters and histograms. */
         public HttpHandler metrics() {
             return InfoHandlers.metrics(instance.core.metrics());
         }
@@ -147,7 +148,7 @@
     /**
      * Starts an instance; it is ready once settings are in force.
      *
-     * @throws RuntimeException where it cannot start, caused by a {@link java.net.BindException} where one of its
+     * @throws RuntimeException if the instance cannot start; caused by a {@link java.net.BindException} if one of its
      *     addresses cannot be bound
      */
     public static ForwardingDaemon start(LocalSettings local, KernelOptions options, Platform platform) {
@@ -162,16 +163,16 @@
         settings = newest;
         callers.applyLimits(newest.limits());
         core.announceGeneration(newest.version());
-        tellDecisions();
+        offerSettings();
     }
 
     private synchronized void onTargets(Map<TargetId, TargetSettings> listed) {
         targets = listed;
-        tellDecisions();
+        offerSettings();
     }
 
-    /** The decisions are told of routes' pools and the listed targets together, whichever of the two has changed. */
-    private void tellDecisions() {
+    /** Sends routes' pools and listed targets to the decision loop together, whichever of the two has changed. */
+    private void offerSettings() {
         RoutedSettings current = settings;
         Map<TargetId, TargetSettings> known = new TreeMap<>();
         for (TargetSettings target : targets.values()) {
@@ -187,28 +188,28 @@
     }
 
     private Health health() {
-        if (core.drainState().begun()) {
+        if (core.drainState().hasBegun()) {
             return Health.notReady("the instance is leaving");
         }
         return settings.version() == 0 ? Health.notReady("no settings yet") : Health.READY;
     }
 
     /**
-     * The instance says that it leaves and goes on to take requests for a while: callers keep addresses, and a request
-     * refused here would come back late elsewhere. Each answer closes its connection.
+     * Announces that the instance is draining, but accepts requests for a while longer: callers cache addresses, and a
+     * request rejected here would reach another instance late. Each response closes its connection.
      */
     @Override
     public void drain() {
         if (!core.leave()) {
             return;
         }
-        core.worker().getIoThread().executeAfter(this::finish, platform.stopAcceptingMs(), TimeUnit.MILLISECONDS);
+        core.worker().getIoThread().executeAfter(this::finishDrain, platform.stopAcceptingMs(), TimeUnit.MILLISECONDS);
     }
 
-    private void finish() {
-        if (!refusing) {
-            refusing = true;
-            core.finish();
+    private void finishDrain() {
+        if (!finishing) {
+            finishing = true;
+            core.finishDrain();
         }
     }
 
@@ -220,7 +221,8 @@
             return;
         }
         boolean same = ((LocalSettingsResult.Valid) read).settings().equals(core.settings());
-        core.logReload(same ? "unchanged" : "kept", same ? "" : "changed addresses and names hold from the next start");
+        core.logReload(
+                same ? "unchanged" : "kept", same ? "" : "changes of addresses and names take effect after a restart");
     }
 
     @Override
--- a/daemon/src/main/java/org/marjoramswitch/daemon/InstanceClock.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/InstanceClock.java
@@ -4,8 +4,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * The time that an instance decides by: the wall clock's milliseconds at its start and then the monotonic clock's, so
- * that it never goes back when the wall clock is set, and still reads like the time in the log.
+ * Monotonic clock of an instance in milliseconds: the wall clock's time at the start plus the monotonic time elapsed
+ * since. It never goes back when the wall clock is set, and its values are comparable to the timestamps in the log.
  */
 final class InstanceClock implements LongSupplier {
     private final long startMs;
@@ -26,9 +26,11 @@
     }
 
     /**
-     * The wall clock's time at the start, which serves as the instance's incarnation: it grows with every restart, and
-     * nothing has to be kept for that. A clock that was set back between two starts gives an incarnation below the
-     * former one; peers then hold the instance for its older self until the clock has caught up.
+     * The wall clock's time at the start, used as the instance's incarnation: it increases with every restart and needs
+     * no stored state.
+     *
+     * <p>Edge case: if the wall clock was set back between two starts, the incarnation is lower than the previous one,
+     * and peers treat the instance as its previous incarnation until the clock has caught up.
      */
     long startMs() {
         return startMs;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
@@ -44,14 +44,14 @@
 import org.xnio.XnioWorker;
 
 /**
- * What every instance is made of, whatever its settings and callers come from: the deciding duty, the links and the
- * membership among instances, and the graceful shutdown. An assembly starts the core, then its own duties, and calls
- * {@link #join} once they can take what peers say.
+ * The components common to all kinds of instances: the decision loop, the peer links, the membership loop and the
+ * graceful shutdown. A concrete instance starts the core, then its own components, and calls {@link #join} once these
+ * can process peer messages.
  */
 final class InstanceCore implements StoreContext {
     private static final int IO_THREADS = 2;
     private static final int TASK_THREADS = 2;
-    /** Counted by whatever serves the callers. */
+    /** Counter maintained by the server for callers. */
     private static final String OPEN_CALLS = "caller.open_requests";
 
     private static final KeyValueLog LOG = KeyValueLog.of(InstanceCore.class);
@@ -68,11 +68,11 @@
     private final FleetDirectory directory;
     private final Drain drain;
     private volatile @Nullable PeerLinks links;
-    /** Null only while the instance starts: the duties that tell it something are there before it. */
+    /** Null only during the start: components that send it updates start before it. */
     private volatile @Nullable MembershipLoop membership;
 
-    private volatile Consumer<FleetView> onView = view -> {};
-    /** Null only while the instance starts: it has sent no request yet. */
+    private volatile Consumer<FleetView> viewListener = view -> {};
+    /** Null only during the start, before any request is sent to a target. */
     private volatile @Nullable CrashStore crashStore;
 
     private volatile long generation;
@@ -81,7 +81,7 @@
             LocalSettings settings,
             StartedComponents components,
             KernelOptions options,
-            Targets targets,
+            TargetClientFactory targetClients,
             long addressKeepMs)
             throws IOException {
         this.settings = settings;
@@ -93,47 +93,47 @@
         this.kernel = KernelDriver.of(InstanceKernel.create(self, options));
         this.decisions = components.add(DecisionLoop.builder(kernel, clock, settings.maxWaiting(), metrics)
                 .peers(peers)
-                .targets(targets.start(worker, metrics))
-                .observer(recorder(RecordingHeader.of(self, options)))
+                .targets(targetClients.start(worker, metrics))
+                .observer(startRecorder(RecordingHeader.of(self, options)))
                 .linkCutter(peers::disconnect)
-                .crashKeeper(this::keepCrashes)
+                .crashKeeper(this::persistCrashes)
                 .start());
-        this.directory = directory(addressKeepMs);
+        this.directory = createDirectory(addressKeepMs);
         this.drain = components.add(
-                Drain.of(() -> decisions.drained().isDone() && noCallIsOpen(), clock, settings.drainDeadlineMs()));
+                Drain.of(() -> decisions.drained().isDone() && hasNoOpenCalls(), clock, settings.drainDeadlineMs()));
     }
 
-    /** Starts the client of the targets. */
+    /** Starts the client for targets. */
     @FunctionalInterface
-    interface Targets {
+    interface TargetClientFactory {
         TargetClient start(XnioWorker worker, MetricRegistry metrics);
     }
 
-    /** @param addressKeepMs how long callers may use an address answer */
+    /** @param addressKeepMs how long callers may keep using an address they were given */
     static InstanceCore start(
             LocalSettings settings,
             StartedComponents components,
             KernelOptions options,
-            Targets targets,
+            TargetClientFactory targetClients,
             long addressKeepMs)
             throws IOException {
-        return new InstanceCore(settings, components, options, targets, addressKeepMs);
+        return new InstanceCore(settings, components, options, targetClients, addressKeepMs);
     }
 
     /**
-     * Opens the links to peers and takes part in the membership.
+     * Starts the peer links and the membership loop.
      *
-     * @param messages takes a peer's message that is not about decisions; false for one that is
-     * @param views told of each new view, after the decisions were
-     * @param generationsSeen told of an instance that holds newer settings
+     * @param messages processes a peer message that is not for the decision loop; returns false for any other
+     * @param views receives each new view, after the decision loop
+     * @param generationsSeen notified of an instance that has newer settings
      */
     void join(
             BiPredicate<InstanceId, PeerMessage> messages,
-            PeerRouter.Keys keys,
+            PeerRouter.KeyMessageHandler keys,
             Consumer<FleetView> views,
             Consumer<GenerationSeen> generationsSeen)
             throws IOException {
-        onView = views;
+        viewListener = views;
         PeerRouter router = PeerRouter.of(directory, decisions, messages, keys, this::onLinkLost);
         PeerLinks started =
                 components.add(PeerLinks.start(self, settings.peers(), settings.fleetKey(), router, metrics));
@@ -142,7 +142,7 @@
         MembershipLoop joined = components.add(MembershipLoop.start(
                 self, peersAddress(), settings.fleetKey(), this::onMembers, generationsSeen, metrics));
         membership = joined;
-        // What the other duties told before there was a membership is made up for.
+        // Applies the updates that arrived before the membership loop started.
         joined.announceGeneration(generation);
         started.setPeers(joined.addresses());
     }
@@ -218,20 +218,20 @@
         return HostPort.of(settings.peers().host(), port);
     }
 
-    /** From now on what is held against blocked requests is kept in the platform's service. */
-    void keepCrashesIn(KeyValueStore store) {
+    /** Persists the crash counts of poison requests in the key-value store from now on. */
+    void persistCrashesIn(KeyValueStore store) {
         CrashStore.Delay delay = (delayMs, task) -> worker.getIoThread().executeAfter(task, delayMs, MILLISECONDS);
         crashStore = CrashStore.of(store, decisions, System::currentTimeMillis, delay);
     }
 
-    private void keepCrashes(Action.KeepCrashes kept) {
+    private void persistCrashes(Action.KeepCrashes kept) {
         CrashStore current = crashStore;
         if (current != null) {
             current.keep(kept);
         }
     }
 
-    /** This generation of settings is in force here. */
+    /** Announces to peers the generation of settings in force on this instance. */
     void announceGeneration(long newGeneration) {
         generation = newGeneration;
         MembershipLoop current = membership;
@@ -240,7 +240,7 @@
         }
     }
 
-    /** The platform's list of instances was read. */
+    /** Applies a newly read list of instances, draining targets and crashes. */
     void onList(FleetList list) {
         Map<InstanceId, ListedInstance> instances = new TreeMap<>();
         list.instances()
@@ -263,7 +263,7 @@
         }
     }
 
-    /** Tells the peers that this instance leaves; false where it had been told before. */
+    /** Announces to peers that this instance is draining; false if it already was. */
     boolean leave() {
         if (!drain.begin()) {
             return false;
@@ -281,10 +281,10 @@
         return true;
     }
 
-    /** Refuses new requests from now on and waits for the end of the others. */
-    void finish() {
+    /** Rejects new requests from now on and starts waiting for the open ones to end. */
+    void finishDrain() {
         decisions.offer(new Event.DrainStarted());
-        drain.watch();
+        drain.startWaiting();
     }
 
     void close() {
@@ -310,17 +310,17 @@
         return components.add(started, started::shutdownNow);
     }
 
-    private EventObserver recorder(RecordingHeader header) throws IOException {
+    private EventObserver startRecorder(RecordingHeader header) throws IOException {
         String file = settings.recordFile();
         return file == null ? EventObserver.NONE : components.add(EventRecorder.start(Path.of(file), header));
     }
 
-    /** The decisions may be through with a request whose answer the caller still reads. */
-    private boolean noCallIsOpen() {
+    /** The decision loop may have finished a request whose response the caller is still reading. */
+    private boolean hasNoOpenCalls() {
         return metrics.counter(OPEN_CALLS).getCount() == 0;
     }
 
-    private FleetDirectory directory(long addressKeepMs) {
+    private FleetDirectory createDirectory(long addressKeepMs) {
         CustomerSpread spread = CustomerSpread.of(self.id(), decisions::openRequests, addressKeepMs);
         return FleetDirectory.of(
                 self,
@@ -331,7 +331,7 @@
 
     private void onView(FleetView view) {
         decisions.offer(new Event.ViewChanged(view));
-        onView.accept(view);
+        viewListener.accept(view);
     }
 
     private void onMembers(FleetView members) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/PeerRouter.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/PeerRouter.java
@@ -8,46 +8,46 @@
 import org.marjoramswitch.kernel.message.PeerMessage;
 import org.marjoramswitch.kernel.model.InstanceId;
 
-/** Hands each message of a peer to the duty that it is for. */
+/** Dispatches each peer message to the component that processes it. */
 final class PeerRouter implements PeerListener {
     private final FleetDirectory directory;
     private final DecisionLoop decisions;
     private final BiPredicate<InstanceId, PeerMessage> settings;
-    private final Keys keys;
-    private final Consumer<InstanceId> onLost;
+    private final KeyMessageHandler keys;
+    private final Consumer<InstanceId> onLinkLost;
 
     private PeerRouter(
             FleetDirectory directory,
             DecisionLoop decisions,
             BiPredicate<InstanceId, PeerMessage> settings,
-            Keys keys,
-            Consumer<InstanceId> onLost) {
+            KeyMessageHandler keys,
+            Consumer<InstanceId> onLinkLost) {
         this.directory = directory;
         this.decisions = decisions;
         this.settings = settings;
         this.keys = keys;
-        this.onLost = onLost;
+        this.onLinkLost = onLinkLost;
     }
 
-    /** Takes a message about request keys; false for any other. */
+    /** Processes a message about request keys; returns false for any other. */
     @FunctionalInterface
-    interface Keys {
-        Keys NONE = (from, fromIncarnation, message) -> false;
+    interface KeyMessageHandler {
+        KeyMessageHandler NONE = (from, fromIncarnation, message) -> false;
 
         boolean onMessage(InstanceId from, long fromIncarnation, PeerMessage message);
     }
 
     /**
-     * @param settings takes a message about settings; false for any other
-     * @param onLost told of a peer whose link broke or fell silent
+     * @param settings processes a message about settings; returns false for any other
+     * @param onLinkLost notified of a peer whose link broke or fell silent
      */
     static PeerRouter of(
             FleetDirectory directory,
             DecisionLoop decisions,
             BiPredicate<InstanceId, PeerMessage> settings,
-            Keys keys,
-            Consumer<InstanceId> onLost) {
-        return new PeerRouter(directory, decisions, settings, keys, onLost);
+            KeyMessageHandler keys,
+            Consumer<InstanceId> onLinkLost) {
+        return new PeerRouter(directory, decisions, settings, keys, onLinkLost);
     }
 
     @Override
@@ -65,14 +65,14 @@
 
     @Override
     public void onLinkChanged(InstanceId peer, long incarnation, boolean up) {
-        // The view goes first: an arbiter drops all it holds of an older incarnation, and what the new link brings must
-        // not be taken for that.
+        // The view is updated first: an arbiter drops everything it holds for an older incarnation of the peer, and
+        // messages from the new link must not be attributed to that incarnation.
         if (up) {
             directory.setIncarnation(peer, incarnation);
         }
         decisions.onLinkChanged(peer, incarnation, up);
         if (!up) {
-            onLost.accept(peer);
+            onLinkLost.accept(peer);
         }
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/ProcessMetrics.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/ProcessMetrics.java
@@ -9,8 +9,8 @@
 import org.marjoramswitch.daemon.log.QueueAppender;
 
 /**
- * Figures of the process: heap, resident memory, processor time, threads. They come from the runtime and from
- * {@code /proc}, as the management beans would take several megabytes of a small instance.
+ * Registers metrics of the process: heap, resident memory, processor time and threads. The values come from the runtime
+ * and {@code /proc}, because the management beans would use several megabytes of a small instance.
  */
 final class ProcessMetrics {
     private static final Path STATM = Path.of("/proc/self/statm");
@@ -20,7 +20,7 @@
 
     private ProcessMetrics() {}
 
-    /** @param processorMillicores what the process may use, in thousandths of a core; 0 where unknown */
+    /** @param processorMillicores processor limit of the process in thousandths of a core; 0 if unknown */
     static void register(MetricRegistry registry, int processorMillicores) {
         Runtime runtime = Runtime.getRuntime();
         gauge(registry, "heap_used_bytes", () -> runtime.totalMemory() - runtime.freeMemory());
--- a/daemon/src/main/java/org/marjoramswitch/daemon/ProcessSignals.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/ProcessSignals.java
@@ -5,25 +5,26 @@
 import java.util.List;
 
 /**
- * Hears the signals that drive a process: SIGTERM and SIGINT, which end it, and SIGHUP, which says that its settings file
- * has changed; unheard, SIGHUP ends the process at once with all its requests. A shutdown hook would not do: once hooks
- * run, the virtual machine ignores further signals, and a second one has to end a graceful shutdown. The platform's only
- * interface to signals is {@code sun.misc.Signal}, which cannot be compiled against without a warning; so it is reached
- * by name.
+ * Handles the signals of the process: SIGTERM and SIGINT request its end, and SIGHUP announces that the settings file
+ * has changed. Unhandled, SIGHUP would end the process at once with all its requests.
+ *
+ * <p>A shutdown hook is not sufficient: once hooks run, the virtual machine ignores further signals, but a second
+ * signal must end a graceful shutdown. Java's only interface to signals is {@code sun.misc.Signal}, which cannot be
+ * compiled against without a warning, so it is accessed by reflection.
  */
 final class ProcessSignals {
-    private static final List<String> ENDING = List.of("TERM", "INT");
-    private static final String HANG_UP = "HUP";
+    private static final List<String> TERMINATION_SIGNALS = List.of("TERM", "INT");
+    private static final String HANGUP_SIGNAL = "HUP";
 
     private ProcessSignals() {}
 
-    /** Runs a handler on a thread of its own for each signal from now on; false where signals cannot be heard. */
-    static boolean handle(Runnable onEnding, Runnable onHangUp) {
+    /** Runs a handler on a new thread for each signal from now on; false if signals cannot be handled. */
+    static boolean handle(Runnable onTermination, Runnable onHangup) {
         try {
-            for (String name : ENDING) {
-                register(name, onEnding);
+            for (String name : TERMINATION_SIGNALS) {
+                register(name, onTermination);
             }
-            register(HANG_UP, onHangUp);
+            register(HANGUP_SIGNAL, onHangup);
             return true;
         } catch (ReflectiveOperationException unsupported) {
             return false;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/RunningInstance.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/RunningInstance.java
@@ -2,21 +2,21 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** An instance from its start to its end, as its process drives it. */
+/** A started instance, as controlled by its process. */
 public interface RunningInstance extends AutoCloseable {
-    /** Begins the graceful shutdown; {@link #drained} tells its end. */
+    /** Begins the graceful shutdown; {@link #drained} completes when it ends. */
     void drain();
 
-    /** True once a graceful shutdown has cut no request, and false where its deadline or another end came first. */
+    /** Completes with true if a graceful shutdown let all requests finish; false if a deadline or abort came first. */
     CompletableFuture<Boolean> drained();
 
-    /** Ends a graceful shutdown where it stands. */
+    /** Ends a graceful shutdown immediately, with requests still open. */
     void abortDrain();
 
-    /** The file with the instance's own settings may have changed; nothing that runs is cut by it. */
+    /** Called when the file with the local settings may have changed; does not interrupt open requests. */
     void reload();
 
-    /** Ends the instance at once; requests still open fail towards their callers. */
+    /** Stops the instance immediately; open requests fail for their callers. */
     @Override
     void close();
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/SettingsFileWatch.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/SettingsFileWatch.java
@@ -11,25 +11,25 @@
 import org.marjoramswitch.daemon.log.KeyValueLog;
 
 /**
- * Sees that the settings file has changed where no signal says so. Its bytes are compared: a file that is put in the
- * place of another may bear any time.
+ * Polls the settings file for changes that no signal announces. The bytes are compared, because a file that replaces
+ * another may have any modification time.
  *
- * <p>A watch is made before the settings are read for the first time. One that took its first look only after the start
- * missed a change that came meanwhile, for good: it took the new bytes for those that the settings in use were read from.
+ * <p>The watch must be created before the settings are first read. Otherwise it would take the new bytes of a file that
+ * changes during the start for those in use, and would never report that change.
  */
 public final class SettingsFileWatch implements AutoCloseable {
-    /** Operators look for the effect of a change within seconds; a small file read so often costs next to nothing. */
-    private static final long PERIOD_MS = 2_000;
+    /** Operators expect a change to take effect within seconds; polling a small file is cheap. */
+    private static final long POLL_INTERVAL_MS = 2_000;
 
     private static final KeyValueLog LOG = KeyValueLog.of(SettingsFileWatch.class);
 
     private final ScheduledExecutorService thread;
     private final Path file;
-    private byte[] known;
+    private byte[] lastContent;
 
     private SettingsFileWatch(Path file) {
         this.file = file;
-        this.known = read();
+        this.lastContent = read();
         this.thread = Executors.newSingleThreadScheduledExecutor(task -> {
             Thread created = new Thread(task, "settings-file");
             created.setDaemon(true);
@@ -37,15 +37,15 @@
         });
     }
 
-    /** Remembers the file as it is now; read the settings from it after this. */
+    /** Records the current content of the file; the settings must be read from it afterwards. */
     public static SettingsFileWatch of(Path file) {
         return new SettingsFileWatch(file);
     }
 
-    /** @param onChange called on a thread of the watch's own from now on; it reads the file by itself */
+    /** @param onChange called on the watch's thread for each change from now on; must read the file itself */
     void start(Runnable onChange) {
-        ScheduledFuture<?> unused =
-                thread.scheduleWithFixedDelay(() -> look(onChange), PERIOD_MS, PERIOD_MS, TimeUnit.MILLISECONDS);
+        ScheduledFuture<?> unused = thread.scheduleWithFixedDelay(
+                () -> poll(onChange), POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -53,21 +53,21 @@
         thread.shutdownNow();
     }
 
-    private void look(Runnable onChange) {
-        byte[] now = read();
-        if (Arrays.equals(known, now)) {
+    private void poll(Runnable onChange) {
+        byte[] content = read();
+        if (Arrays.equals(lastContent, content)) {
             return;
         }
-        known = now;
+        lastContent = content;
         try {
             onChange.run();
         } catch (RuntimeException fault) {
-            // Let out, it would end the watch: no later change would be seen.
+            // A thrown exception would end the scheduled task, and no later change would be reported.
             LOG.error(fault, "settings_reload_failed", "file", file);
         }
     }
 
-    /** Nothing where it cannot be read; whoever is told of the change logs why. */
+    /** Returns an empty array if the file cannot be read; the listener logs the reason. */
     private byte[] read() {
         try {
             return Files.readAllBytes(file);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/StartedComponents.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/StartedComponents.java
@@ -6,17 +6,17 @@
 import java.util.Deque;
 import org.marjoramswitch.daemon.log.KeyValueLog;
 
-/** The started components of an instance, closed in the reverse order of their start. */
+/** Collects the started components of an instance and closes them in the reverse order of their start. */
 final class StartedComponents implements AutoCloseable {
     private static final KeyValueLog LOG = KeyValueLog.of(StartedComponents.class);
 
     private final Deque<AutoCloseable> started = new ArrayDeque<>();
 
-    /** Starts an instance; what has started by then is closed where it cannot. */
+    /** Starts an instance; if that fails, closes the components started so far. */
     static <T> T start(Start<T> start) {
         StartedComponents components = new StartedComponents();
         try {
-            return start.with(components);
+            return start.startWith(components);
         } catch (IOException fault) {
             components.close();
             throw new UncheckedIOException(fault);
@@ -26,23 +26,23 @@
         }
     }
 
-    /** Starts an instance of these components. */
+    /** Starts an instance and adds its components. */
     @FunctionalInterface
     interface Start<T> {
-        T with(StartedComponents components) throws IOException;
+        T startWith(StartedComponents components) throws IOException;
     }
 
-    <T extends AutoCloseable> T add(T part) {
-        started.push(part);
-        return part;
+    <T extends AutoCloseable> T add(T component) {
+        started.push(component);
+        return component;
     }
 
-    <T> T add(T part, AutoCloseable close) {
+    <T> T add(T component, AutoCloseable close) {
         started.push(close);
-        return part;
+        return component;
     }
 
-    /** One part that fails to close does not keep the others open. */
+    /** Closes all components, even if closing one of them fails. */
     @Override
     public void close() {
         while (!started.isEmpty()) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/StoreContext.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/StoreContext.java
@@ -3,7 +3,7 @@
 import com.codahale.metrics.MetricRegistry;
 import org.xnio.XnioWorker;
 
-/** What a client of the platform's service shares with the rest of its instance. */
+/** Resources of an instance that the client of the key-value store shares. */
 public interface StoreContext {
     XnioWorker worker();
 
--- a/daemon/src/test/java/org/marjoramswitch/daemon/SettingsFileWatchTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/SettingsFileWatchTest.java
@@ -10,24 +10,24 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class SettingsFileWatchTest {
-    private static final long PATIENCE_S = 20;
+    private static final long TIMEOUT_S = 20;
 
     @TempDir
     private Path directory;
 
     /**
-     * An operator changes the file while the instance starts, after its settings were read and before the watch looks for
-     * the first time. The instance hears of it all the same; it would go on with the former settings for good.
+     * An operator changes the file during the start, after the settings were read and before the first poll. The watch
+     * must report the change; otherwise the instance would keep the previous settings until the next change.
      */
     @Test
-    void aChangeDuringTheStartIsSeen() throws Exception {
+    void aChangeDuringTheStartIsReported() throws Exception {
         Path file = directory.resolve("settings.json");
         Files.writeString(file, "former");
-        CountDownLatch seen = new CountDownLatch(1);
+        CountDownLatch reported = new CountDownLatch(1);
         try (SettingsFileWatch watch = SettingsFileWatch.of(file)) {
             Files.writeString(file, "newer");
-            watch.start(seen::countDown);
-            assertTrue(seen.await(PATIENCE_S, TimeUnit.SECONDS));
+            watch.start(reported::countDown);
+            assertTrue(reported.await(TIMEOUT_S, TimeUnit.SECONDS));
         }
     }
 }
