--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallHandler.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallHandler.java
@@ -81,7 +81,7 @@
         }
         if (!exchange.isHttp11()) {
             // An HTTP/1.0 response ends with its connection, so a partial one is indistinguishable from a complete one.
-            return Failure.notRun(ErrorType.MALFORMED_REQUEST, 0, "HTTP/1.1 is required");
+            return Failure.notRun(ErrorType.MALFORMED_REQUEST, 0, "HTTP/1.1 is needed");
         }
         return null;
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
@@ -72,10 +72,7 @@
         String keyText = call.headers().requestKey();
         RequestKey key = keyText == null ? null : RequestKey.parse(keyText);
         if (keyText != null && (key == null || RequestKeys.isReserved(key))) {
-            refuse(
-                    caller,
-                    call,
-                    Failure.notRun(ErrorType.MALFORMED_REQUEST, 0, "header Request-Key is not a valid request key"));
+            refuse(caller, call, Failure.notRun(ErrorType.MALFORMED_REQUEST, 0, "header Request-Key is no key"));
             return;
         }
         if (call.needsClaim()) {
@@ -105,8 +102,7 @@
         String keyHash = Sha256.hex(Objects.requireNonNull(call.headers().idempotencyKey()));
         CompletableFuture<?> unused = claims.claim(call.customer(), keyHash, claimed.toString())
                 .whenComplete((result, error) -> {
-                    Claims.Result known =
-                            error == null ? result : new Claims.Result.NotClaimed("the claim failed unexpectedly");
+                    Claims.Result known = error == null ? result : new Claims.Result.NotClaimed("a fault");
                     caller.onIoThread(() -> onClaim(caller, call, claimed, requestId, known));
                 });
     }
@@ -153,8 +149,7 @@
     /** A holder that did not run releases its claim, so a later attempt may claim the caller's key. */
     private void rejectForHolder(CallerExchange caller, Call call, HomeQueryResult result) {
         Failure failure = result instanceof HomeQueryResult.NotRun
-                ? Failure.notRun(
-                        ErrorType.CLAIM_UNAVAILABLE, CLAIM_RETRY_AFTER_MS, "the request that holds the key did not run")
+                ? Failure.notRun(ErrorType.CLAIM_UNAVAILABLE, CLAIM_RETRY_AFTER_MS, "its last request did not run")
                 : failureOf(caller, result);
         refuse(caller, call, failure);
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ChatBody.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ChatBody.java
@@ -56,7 +56,7 @@
 
         ChatBody read() throws IOException, MalformedCallException {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new MalformedCallException("$: must be an object");
+                throw new MalformedCallException("$: an object is needed");
             }
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
                 String field = parser.currentName();
@@ -64,7 +64,7 @@
                 readField(field);
             }
             if (parser.nextToken() != null) {
-                throw new MalformedCallException("$: unexpected content after the object");
+                throw new MalformedCallException("$: there is more after the object");
             }
             return body();
         }
@@ -81,7 +81,7 @@
 
         private void readField(String field) throws IOException, MalformedCallException {
             if (field.equals("model")) {
-                expect(JsonToken.VALUE_STRING, "$.model: must be a string");
+                expect(JsonToken.VALUE_STRING, "$.model: a string is needed");
                 model = parser.getText();
             } else if (field.equals("stream")) {
                 stream = readBoolean();
@@ -97,7 +97,7 @@
         private boolean readBoolean() throws MalformedCallException {
             JsonToken token = parser.currentToken();
             if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE && token != JsonToken.VALUE_NULL) {
-                throw new MalformedCallException("$.stream: must be true or false");
+                throw new MalformedCallException("$.stream: true or false is needed");
             }
             return token == JsonToken.VALUE_TRUE;
         }
@@ -106,7 +106,7 @@
             if (parser.currentToken() == JsonToken.VALUE_NULL) {
                 return maxTokens;
             }
-            expect(JsonToken.VALUE_NUMBER_INT, "$." + field + ": must be an integer");
+            expect(JsonToken.VALUE_NUMBER_INT, "$." + field + ": a whole number is needed");
             long limit = parser.getLongValue();
             if (limit < 0) {
                 throw new MalformedCallException("$." + field + ": must not be negative");
@@ -115,7 +115,7 @@
         }
 
         private void readMessages() throws IOException, MalformedCallException {
-            expect(JsonToken.START_ARRAY, "$.messages: must be an array");
+            expect(JsonToken.START_ARRAY, "$.messages: an array is needed");
             hasMessages = true;
             int depth = 1;
             while (depth > 0) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardHandler.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardHandler.java
@@ -115,7 +115,7 @@
         }
         if (!exchange.isHttp11()) {
             // An HTTP/1.0 response ends with its connection, so a partial one is indistinguishable from a complete one.
-            return Failure.notRun(ErrorType.MALFORMED_REQUEST, 0, "HTTP/1.1 is required");
+            return Failure.notRun(ErrorType.MALFORMED_REQUEST, 0, "HTTP/1.1 is needed");
         }
         if (route.open() || !current.keysNeeded()) {
             caller.identify(RoutedCall.NO_CUSTOMER);
@@ -139,7 +139,7 @@
         HeaderValues lengths = headers.get(Headers.CONTENT_LENGTH);
         boolean chunked = headers.contains(Headers.TRANSFER_ENCODING);
         if (lengths != null && (chunked || lengths.size() > 1)) {
-            return "the body length is specified more than once";
+            return "the length of the body is told more than once";
         }
         return null;
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ResponseWriter.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ResponseWriter.java
@@ -207,7 +207,7 @@
     }
 
     private static Failure missingHead() {
-        return Failure.unknown(ErrorType.INTERNAL, "the response ended without a head");
+        return Failure.unknown(ErrorType.INTERNAL, "an answer without a head");
     }
 
     private void writeHead(ResponseHead head, long knownLength) {
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/ChatBodyTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/ChatBodyTest.java
@@ -31,15 +31,15 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "[] | $: must be an object",
+                "[] | $: an object is needed",
                 "{} | $.model: is missing",
                 "{\"model\":\"m\"} | $.messages: is missing",
-                "{\"model\":7} | $.model: must be a string",
-                "{\"messages\":{}} | $.messages: must be an array",
-                "{\"stream\":1} | $.stream: must be true or false",
+                "{\"model\":7} | $.model: a string is needed",
+                "{\"messages\":{}} | $.messages: an array is needed",
+                "{\"stream\":1} | $.stream: true or false is needed",
                 "{\"max_tokens\":-1} | $.max_tokens: must not be negative",
-                "{\"max_tokens\":1.5} | $.max_tokens: must be an integer",
-                "{\"model\":\"m\",\"messages\":[]} 1 | $: unexpected content after the object"
+                "{\"max_tokens\":1.5} | $.max_tokens: a whole number is needed",
+                "{\"model\":\"m\",\"messages\":[]} 1 | $: there is more after the object"
             })
     void errorMessageNamesTheField(String text, String message) {
         assertEquals(
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/RawInputTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/RawInputTest.java
@@ -73,7 +73,7 @@
     void http10RequestIsRejectedBecauseInterruptionsWouldBeUndetectable() throws Exception {
         String head = Fixture.rawHead("GET", "/services/cell-gateway/x").replace("HTTP/1.1", "HTTP/1.0");
         String response = responseTo(head);
-        assertTrue(response.startsWith("HTTP/1.0 400 ") && response.contains("HTTP/1.1 is required"), response);
+        assertTrue(response.startsWith("HTTP/1.0 400 ") && response.contains("HTTP/1.1 is needed"), response);
     }
 
     // The caller sends far more than the limit and reads only afterwards. The remainder is read and discarded, because
--- a/kernel/src/main/java/org/marjoramswitch/kernel/error/ErrorType.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/error/ErrorType.java
@@ -38,12 +38,11 @@
     SETTINGS_CONFLICT(201, Severity.ERROR, 0, "Two teams define the same name: %s"),
     SETTINGS_WRITE_LOST(202, Severity.WARNING, 0, "Another write came first at %s"),
     LOCAL_SETTINGS_INVALID(203, Severity.ERROR, 0, "The instance's settings file is not valid: %s"),
-    SETTINGS_TOO_LARGE(204, Severity.ERROR, 0, "The settings exceed a size limit: %s"),
-    SETTINGS_SUPERSEDED(
-            205, Severity.WARNING, 0, "The settings are a restored older copy; write them again to apply them: %s"),
+    SETTINGS_TOO_LARGE(204, Severity.ERROR, 0, "The settings exceed a limit of size: %s"),
+    SETTINGS_SUPERSEDED(205, Severity.WARNING, 0, "A restored copy of older settings; write them again to apply: %s"),
     SETTINGS_UNKNOWN_POOL(206, Severity.ERROR, 0, "A target names a pool that no team defines: %s"),
     SETTINGS_POOL_IN_USE(207, Severity.ERROR, 0, "A pool that targets still name cannot be removed: %s"),
-    PLATFORM_UNAVAILABLE(220, Severity.WARNING, 0, "The platform's key-value store does not respond: %s"),
+    PLATFORM_UNAVAILABLE(220, Severity.WARNING, 0, "The platform's service does not answer: %s"),
     PLATFORM_BUDGET_SPENT(221, Severity.WARNING, 0, "The call budget for the platform's key-value store is exhausted"),
     PLATFORM_REJECTED(222, Severity.ERROR, 0, "The platform's key-value store rejected a call: %s"),
     FLEET_LIST_INVALID(223, Severity.WARNING, 0, "An entry of the platform's list cannot be parsed: %s"),
@@ -55,7 +54,7 @@
     PLACEMENT_ORDER_FAILED(261, Severity.WARNING, 0, "An order to a target failed: %s"),
     USAGE(280, Severity.ERROR, 0, "The command line cannot be understood: %s"),
     INPUT_INVALID(281, Severity.ERROR, 0, "An input file is not valid: %s"),
-    DEMO_NOT_STARTED(282, Severity.ERROR, 0, "The demo did not start: %s"),
+    DEMO_NOT_STARTED(282, Severity.ERROR, 0, "The demo did not come up: %s"),
     INTERNAL(300, Severity.ERROR, 500, "An internal error: %s");
 
     private final int number;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/replay/EventJson.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/replay/EventJson.java
@@ -55,7 +55,7 @@
     public static RecordingHeader readHeader(String line) throws IOException {
         RecordingHeader header = MAPPER.readValue(line, RecordingHeader.class);
         if (header.format() != RecordingHeader.FORMAT) {
-            throw new IOException("unknown recording format: " + header.format());
+            throw new IOException("unknown format of a recording: " + header.format());
         }
         return header;
     }
