--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/InstanceRegistration.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/InstanceRegistration.java
@@ -37,7 +37,7 @@
     private static final long RENEW_MS = 6_000;
     private static final long RETRY_MS = 400;
     /**
-     * Maximum random delay before re-registration, so that instances which vanished their entries together spread their
+     * Maximum random delay before re-registration, so that instances that lost their entries together spread their
      * writes.
      */
     private static final int MAX_REREGISTRATION_DELAY_MS = 2_000;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/KeyValueStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/KeyValueStore.java
@@ -42,7 +42,7 @@
     @Override
     void close();
 
-    /** An entry with its revisions; {@code leaseId} is 0 if it has no lease. */
+    /** An entry with its revisions and lease id. */
     record Entry(String key, String value, long createRevision, long modRevision, long version, long leaseId) {}
 
     /** The result of a range read. */
