--- a/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
@@ -220,7 +220,8 @@
 
     /** Persists the crash counts of poison requests in the key-value store from now on. */
     void persistCrashesIn(KeyValueStore store) {
-        PoisonRequestStore.Delay delay = (delayMs, task) -> worker.getIoThread().executeAfter(task, delayMs, MILLISECONDS);
+        PoisonRequestStore.Delay delay =
+                (delayMs, task) -> worker.getIoThread().executeAfter(task, delayMs, MILLISECONDS);
         crashStore = PoisonRequestStore.of(store, decisions, System::currentTimeMillis, delay);
     }
 
