--- a/daemon/src/main/java/org/marjoramswitch/daemon/route/Route.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/route/Route.java
@@ -4,17 +4,17 @@
 import org.marjoramswitch.kernel.model.PoolId;
 
 /**
- * One route of the operators' settings.
+ * A route in the operators' settings.
  *
  * @param host the host name that callers send, in lower case
- * @param pathPrefix begins and ends with a slash
- * @param shares the pools that serve it, each with its part of the requests
- * @param attempts the most targets that one request may be sent to
- * @param timeoutMs the longest that a caller is kept waiting
- * @param objectiveMs until the answer, or its first event, for its full value
- * @param pauseMs the longest pause between events for an answer in time, 0 where it has no events
+ * @param pathPrefix starts and ends with a slash
+ * @param shares the pools that serve the route, each with its weight
+ * @param attempts the maximum number of attempts per request
+ * @param timeoutMs the caller's timeout if the request specifies none
+ * @param objectiveMs the latency objective: the time within which a response, or its first event, has its full value
+ * @param pauseMs the maximum pause between the events of a response that is on time; 0 if it has no events
  * @param priority 0 is the most urgent
- * @param open whether callers need no key
+ * @param open whether callers need no API key
  */
 public record Route(
         String name,
@@ -28,10 +28,14 @@
         long pauseMs,
         int priority,
         boolean open) {
-    /** A pool and its part of a route's requests. */
+    /** A pool and its weight among the pools of a route. */
     public record PoolShare(PoolId pool, int weight) {}
 
-    /** The pool for a request; {@code draw} is spread evenly over all longs, the same for one request each time. */
+    /**
+     * Selects the pool for a request by weight.
+     *
+     * @param draw a value that is uniformly distributed over all longs and constant for a given request
+     */
     public PoolId pool(long draw) {
         int total = shares.stream().mapToInt(PoolShare::weight).sum();
         if (total <= 0) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/route/RouteKind.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/route/RouteKind.java
@@ -1,14 +1,14 @@
 package org.marjoramswitch.daemon.route;
 
-/** What a second execution of a route's requests does. */
+/** Whether the requests of a route may be executed more than once, and whether their responses are event streams. */
 public enum RouteKind {
-    /** No harm. */
+    /** A repeated execution is harmless. */
     IDEMPOTENT,
-    /** Harm: a request runs once or not at all. */
+    /** A repeated execution is harmful: a request is executed at most once. */
     AT_MOST_ONCE,
-    /** As {@link #AT_MOST_ONCE}; the answer is a stream of events. */
+    /** As {@link #AT_MOST_ONCE}; the response is a stream of events. */
     STREAM,
-    /** A stream of events that another target can go on with after any whole event. */
+    /** The response is a stream of events that another target can resume after any complete event. */
     RESUMABLE_STREAM;
 
     /** Whether a request may be sent again after a target may have executed it. */
--- a/daemon/src/main/java/org/marjoramswitch/daemon/route/RouteTable.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/route/RouteTable.java
@@ -7,8 +7,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Finds the route of a request: of those of its host the one with the longest prefix of the path. Prefixes end with a
- * slash, so only the beginnings of the path that do are looked up, the longest first.
+ * Maps a request to the route of its host with the longest matching path prefix. Route prefixes end with a slash, so
+ * only the prefixes of the path that end with a slash are looked up, longest first.
  */
 public final class RouteTable {
     public static final RouteTable EMPTY = new RouteTable(Map.of());
@@ -27,9 +27,9 @@
         return new RouteTable(index);
     }
 
-    /** @param host as the caller sent it, with or without a port; null where it sent none */
+    /** @param host the host as sent by the caller, with or without a port; null if it sent none */
     public @Nullable Route find(@Nullable String host, String path) {
-        Map<String, Route> byPrefix = host == null ? null : byHostAndPrefix.get(nameOf(host));
+        Map<String, Route> byPrefix = host == null ? null : byHostAndPrefix.get(hostName(host));
         if (byPrefix == null) {
             return null;
         }
@@ -48,7 +48,7 @@
         return byHostAndPrefix.values().stream().mapToInt(Map::size).sum();
     }
 
-    private static String nameOf(String host) {
+    private static String hostName(String host) {
         int colon = host.lastIndexOf(':');
         boolean hasPort = colon > 0 && host.indexOf(']', colon) < 0;
         return (hasPort ? host.substring(0, colon) : host).toLowerCase(Locale.ROOT);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/route/RoutedSettings.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/route/RoutedSettings.java
@@ -8,12 +8,12 @@
 import org.marjoramswitch.kernel.settings.PoolSettings;
 
 /**
- * One version of settings that the operators have accepted already.
+ * A version of the routed settings, which the operators accept before they write them to the key-value store.
  *
- * @param version grows with every change
- * @param priorities of the customers that have one of their own, which goes before their route's
- * @param memories of each engine of a pool, for the pools whose engines' memory is known
- * @param keyRequired whether callers need a key at all
+ * @param version increases with every change
+ * @param priorities the priorities of customers that have their own, which override those of the routes
+ * @param memories the memory of each engine in a pool, for pools whose engine memory is known
+ * @param keyRequired whether callers of routes that are not open need an API key
  */
 public record RoutedSettings(
         long version,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/route/package-info.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/route/package-info.java
@@ -1,4 +1,4 @@
-/** The operators' routes: which service a caller's request is for, and what holds for it there. */
+/** Routes configured by the operators: the pools that serve a request and the limits that apply to it. */
 @NullMarked
 package org.marjoramswitch.daemon.route;
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/settings/HostPort.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/settings/HostPort.java
@@ -2,13 +2,13 @@
 
 import java.net.InetSocketAddress;
 
-/** An IP number and a port; port 0 asks the system for a free one. */
+/** An IP address and a port; port 0 lets the system assign a free port. */
 public record HostPort(String host, int port) {
     public static HostPort of(String host, int port) {
         return new HostPort(host, port);
     }
 
-    /** Reads {@code host:port}; throws IllegalArgumentException on anything else. */
+    /** Parses {@code host:port}; throws IllegalArgumentException for any other text. */
     public static HostPort parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/settings/LocalSettings.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/settings/LocalSettings.java
@@ -7,17 +7,17 @@
 import org.marjoramswitch.kernel.model.Member;
 
 /**
- * What an instance learns from its own settings file; all else comes from the platform's service.
+ * Settings from the instance's own file; all other settings come from the platform's key-value store.
  *
- * @param callers where callers connect (HTTP)
- * @param peers where peers connect, by TCP and by UDP at the same port
- * @param platform addresses of the platform's key-value service
+ * @param callers the address at which callers connect (HTTP)
+ * @param peers the address at which peers connect, with TCP and UDP on the same port
+ * @param platform the addresses of the platform's key-value store
  * @param fleetKey the secret that all instances of the fleet share
- * @param drainDeadlineMs how long a graceful shutdown may wait for its requests
- * @param maxBodyBytes the largest request body taken
- * @param maxWaiting the most requests that may wait at this instance in all
- * @param processorMillicores the processor time that the instance may use, in thousandths of a core; 0 where unknown
- * @param recordFile where events for replay are written, null for none
+ * @param drainDeadlineMs the maximum time that a graceful shutdown waits for open requests
+ * @param maxBodyBytes the maximum size of a request body
+ * @param maxWaiting the maximum number of waiting requests at this instance
+ * @param processorMillicores the processor time that the instance may use, in thousandths of a core; 0 if unknown
+ * @param recordFile the file to which events are recorded for replay; null for none
  */
 public record LocalSettings(
         InstanceId instance,
@@ -36,7 +36,7 @@
     public static final long DEFAULT_MAX_BODY_BYTES = 4L << 20;
     public static final int DEFAULT_MAX_WAITING = 2_000;
 
-    /** Settings with every default, for an instance that is not read from a file. */
+    /** Creates settings with default values, for an instance without a settings file. */
     public static LocalSettings of(
             InstanceId instance,
             DataCentreId dataCentre,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/settings/LocalSettingsReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/settings/LocalSettingsReader.java
@@ -24,7 +24,7 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 import org.marjoramswitch.kernel.model.Member;
 
-/** Reads an instance's settings file; the committed schema says what it may hold. */
+/** Reads an instance's settings file and validates it against {@code local-settings.schema.json}. */
 public final class LocalSettingsReader {
     private static final String SCHEMA = "local-settings.schema.json";
     private static final String WHOLE_FILE = "";
@@ -36,7 +36,7 @@
 
     private LocalSettingsReader() {}
 
-    /** Reads a file, with every fault that it has. */
+    /** Reads a file; an invalid result lists every fault found. */
     public static LocalSettingsResult read(Path file) {
         try {
             return parse(Files.readString(file));
@@ -45,13 +45,12 @@
         }
     }
 
-    /** Reads a file's text. */
     public static LocalSettingsResult parse(String text) {
         JsonNode root;
         try {
             root = MAPPER.readTree(text);
         } catch (JsonProcessingException malformed) {
-            return invalid(WHOLE_FILE, "is not JSON: " + malformed.getOriginalMessage() + where(malformed));
+            return invalid(WHOLE_FILE, "is not JSON: " + malformed.getOriginalMessage() + lineSuffix(malformed));
         }
         List<Fault> faults = check(root);
         return faults.isEmpty() ? new Valid(settings(root)) : new Invalid(faults);
@@ -63,13 +62,13 @@
         for (Error error : schema.validate(root)) {
             faults.add(new Fault(error.getInstanceLocation().toString(), reason(error, schema.getSchemaNode())));
         }
-        if (faults.isEmpty() && sameAddress(root)) {
+        if (faults.isEmpty() && hasSameAddress(root)) {
             faults.add(new Fault("/peers", "is the same address as /callers"));
         }
         return List.copyOf(faults);
     }
 
-    /** A pattern that is not met is told by the description beside it, as the pattern itself helps nobody. */
+    /** For a pattern mismatch uses the schema's description, which is more readable than the regular expression. */
     private static String reason(Error error, JsonNode schema) {
         String keyword = String.valueOf(error.getSchemaLocation().getFragment());
         if (!keyword.endsWith(PATTERN)) {
@@ -79,7 +78,7 @@
         return "is not " + schema.at(parent + "/description").asText("of the right form");
     }
 
-    private static boolean sameAddress(JsonNode root) {
+    private static boolean hasSameAddress(JsonNode root) {
         String peers = root.path("peers").asText();
         return !peers.endsWith(":0") && peers.equals(root.path("callers").asText());
     }
@@ -89,7 +88,7 @@
         try (InputStream text = LocalSettingsReader.class.getResourceAsStream(SCHEMA)) {
             return registry.getSchema(MAPPER.readTree(Objects.requireNonNull(text, SCHEMA)));
         } catch (IOException missing) {
-            throw new IllegalStateException("the schema of the settings is missing", missing);
+            throw new IllegalStateException("cannot read the schema of the local settings", missing);
         }
     }
 
@@ -111,7 +110,7 @@
                 root.hasNonNull("recordFile") ? root.path("recordFile").asText() : null);
     }
 
-    private static String where(JsonProcessingException malformed) {
+    private static String lineSuffix(JsonProcessingException malformed) {
         return malformed.getLocation() == null
                 ? ""
                 : " at line " + malformed.getLocation().getLineNr();
--- a/daemon/src/main/java/org/marjoramswitch/daemon/settings/LocalSettingsResult.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/settings/LocalSettingsResult.java
@@ -2,19 +2,19 @@
 
 import java.util.List;
 
-/** How reading an instance's settings file ended. */
+/** The result of reading an instance's settings file. */
 public sealed interface LocalSettingsResult {
 
-    /** The file holds valid settings. */
+    /** The file contains valid settings. */
     record Valid(LocalSettings settings) implements LocalSettingsResult {}
 
-    /** The file cannot be read or holds these faults, all that were found. */
+    /** The file cannot be read or has faults; the list contains all that were found. */
     record Invalid(List<Fault> faults) implements LocalSettingsResult {}
 
     /**
-     * One fault.
+     * A fault in the file.
      *
-     * @param pointer JSON pointer to the value at fault; empty for the whole file
+     * @param pointer a JSON pointer to the invalid value; empty for the whole file
      */
     record Fault(String pointer, String reason) {}
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/settings/package-info.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/settings/package-info.java
@@ -1,4 +1,4 @@
-/** The instance's own settings file: its shape, its checks and its loading. */
+/** The instance's own settings file: its model, validation and parsing. */
 @NullMarked
 package org.marjoramswitch.daemon.settings;
 
--- a/daemon/src/test/java/org/marjoramswitch/daemon/configuration/ConfigurationLoopTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/configuration/ConfigurationLoopTest.java
@@ -142,7 +142,7 @@
         assertEquals("/customers/acme/weight", refusal.faults().get(0).pointer());
         store.write(KEY, weight(2));
         fleet.awaitWeight("acme", 2);
-        FakeFleet.await("the refusal's removal", () -> store.entry(SettingsKeys.refusal("floor")) == null);
+        FakeFleet.await("the end of the refusal", () -> store.entry(SettingsKeys.refusal("floor")) == null);
     }
 
     @Test
--- a/daemon/src/test/java/org/marjoramswitch/daemon/route/RouteTableTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/route/RouteTableTest.java
@@ -23,7 +23,7 @@
             route("other", "g.example", "/a/")));
 
     @Test
-    void theLongestPrefixOfTheHostIsTaken() {
+    void findsLongestPrefixOfHost() {
         assertEquals("deep", find("h.example", "/a/b/c/d"));
         assertEquals("a", find("h.example", "/a/b/c"));
         assertEquals("a", find("h.example", "/a/"));
@@ -32,12 +32,12 @@
     }
 
     @Test
-    void theHostIsTakenWithoutCaseAndPort() {
+    void ignoresCaseAndPortOfHost() {
         assertEquals("a", find("H.Example:8080", "/a/x"));
     }
 
     @Test
-    void nothingIsFoundForOthers() {
+    void findsNoRouteForUnknownHostOrPath() {
         assertNull(find("g.example", "/b/x"));
         assertNull(find("strange.example", "/a/x"));
         assertNull(find(null, "/a/x"));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void sharesAreTakenByWeight() {
+    void selectsPoolsByWeight() {
         Route split = new Route(
                 "r",
                 "h",
--- a/daemon/src/test/java/org/marjoramswitch/daemon/settings/LocalSettingsReaderTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/settings/LocalSettingsReaderTest.java
@@ -19,7 +19,7 @@
             """;
 
     @Test
-    void whatIsLeftOutHasItsDefault() {
+    void absentMembersTakeDefaults() {
         LocalSettings settings = assertInstanceOf(Valid.class, LocalSettingsReader.parse(MINIMAL.formatted("")))
                 .settings();
         assertEquals(HostPort.of("127.0.0.1", 8080), settings.callers());
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void everyFaultIsReportedWithItsPointer() {
+    void reportsEveryFaultWithItsPointer() {
         String text = """
                 {"instance": "Entry 1", "callers": "localhost:8080", "peers": "10.0.0.300:70000",
                  "platform": ["10.0.0.1:2379", 7], "fleetKey": "short", "logLevel": "LOUD", "maxWaiting": 0,
@@ -42,27 +42,28 @@
     }
 
     @Test
-    void anAddressOfAnotherFormIsExplained() {
+    void describesValidAddressForms() {
         Invalid invalid = assertInstanceOf(
                 Invalid.class, LocalSettingsReader.parse(MINIMAL.formatted("").replace("127.0.0.1:8080", "::1:8080")));
         assertEquals(
-                List.of(new Fault("/callers", "is not an IP number and a port, as 10.0.0.1:8080 or [fd00::1]:8080")),
+                List.of(new Fault(
+                        "/callers", "is not an IP address and a port, such as 10.0.0.1:8080 or [fd00::1]:8080")),
                 invalid.faults());
     }
 
     @Test
-    void aNullOrARepeatedMemberIsAFault() {
+    void rejectsNullAndDuplicateMembers() {
         assertEquals(Set.of("/recordFile"), pointers(MINIMAL.formatted(", \"recordFile\": null")));
         assertEquals(Set.of(""), pointers(MINIMAL.formatted(", \"instance\": \"entry-2\"")));
     }
 
     @Test
-    void callersAndPeersNeedDifferentAddresses() {
+    void rejectsSameAddressForCallersAndPeers() {
         assertEquals(Set.of("/peers"), pointers(MINIMAL.formatted("").replace("7070", "8080")));
     }
 
     @Test
-    void whatIsNotJsonOrNotThereIsAFaultOfTheWholeFile() {
+    void reportsMalformedOrMissingFileAsFaultOfWholeFile() {
         assertEquals(Set.of(""), pointers("{"));
         assertInstanceOf(Invalid.class, LocalSettingsReader.read(Path.of("/nonexistent/settings.json")));
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/SettingsAcceptor.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/SettingsAcceptor.java
@@ -20,11 +20,12 @@
 /**
  * Decides which drafts become the next accepted generation.
  *
- * <p><b>Algorithm.</b> A team's drafts are accepted together or not at all; a rejected team keeps its accepted body. The
- * candidates are the changed teams whose drafts are valid on their own. Each round looks for conflicts in the resulting
- * tree and removes the responsible candidates, until no conflict is left. A removed team falls back to its accepted
- * body, which may conflict with another candidate, so one round is not enough. Each round removes at least one
- * candidate, and without candidates the tree is the accepted one, so there are at most as many rounds as changed teams.
+ * <p><b>Algorithm.</b> A team's drafts are accepted together or not at all; a rejected team keeps its accepted body.
+ * The candidates are the changed teams whose drafts are valid on their own. Each round looks for conflicts in the
+ * resulting tree and removes the responsible candidates, until no conflict is left. A removed team falls back to its
+ * accepted body, which may conflict with another candidate, so one round is not enough. Each round removes at least
+ * one candidate, and without candidates the tree is the accepted one, so there are at most as many rounds as changed
+ * teams.
  *
  * <p><b>Responsibility for conflicts.</b> For a duplicate name, the changed teams that did not define it before are
  * responsible: the accepted definition stays, and of two new drafts neither is accepted, so that the outcome does not
