--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ConfigurationLoop.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ConfigurationLoop.java
@@ -56,7 +56,10 @@
         this.thread = new Thread(this::run, "configuration");
     }
 
-    /** Starts the loop. It accepts settings and queries peers only after the first membership view. */
+    /**
+     * Starts the loop, which reads the accepted settings at once. Gossip partners and the acceptor role are determined
+     * from the first membership view on.
+     */
     public static ConfigurationLoop start(
             Member self,
             KeyValueStore store,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ConfigurationOptions.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/ConfigurationOptions.java
@@ -5,7 +5,8 @@
  *
  * @param acceptorsPerDataCentre the number of instances per data centre that watch the drafts
  * @param pollMs the mean interval at which an acceptor reads the head, in case its watch is silent
- * @param takeoverDelayMs the delay per rank before an acceptor processes a change that higher-ranked acceptors have not
+ * @param takeoverDelayMs an acceptor of rank n waits n times this delay before it processes a change, so that acceptors
+ *     of a lower rank can process it first
  * @param repairAfterMs how long a known generation must be missing in the store before the store counts as restored
  *     from a backup
  * @param callTimeoutMs how long a store call may take before the round is restarted; longer than the store client's
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/DraftWatch.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/DraftWatch.java
@@ -48,9 +48,9 @@
      * gap.
      */
     boolean getAndClearOverflow() {
-        boolean was = overflowed;
+        boolean wasOverflowed = overflowed;
         overflowed = false;
-        return was;
+        return wasOverflowed;
     }
 
     /** Opens the watch, replacing an open one. */
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/RoutedSettingsFollower.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/RoutedSettingsFollower.java
@@ -43,7 +43,7 @@
     private final PeerSender peers;
     private final Consumer<RoutedSettings> listener;
     private final LongSupplier clockMs;
-    private @Nullable PrefixFollower follower;
+    private @Nullable PrefixFollower prefixFollower;
     private RoutedSettings active = RoutedSettings.NONE;
     private String document = "";
     private long queriedAtMs = Long.MIN_VALUE / 2;
@@ -76,7 +76,7 @@
             MetricRegistry metrics) {
         RoutedSettingsFollower settingsFollower = new RoutedSettingsFollower(key, decoder, peers, listener, clockMs);
         metrics.gauge("configuration.version", () -> settingsFollower::version);
-        settingsFollower.follower = PrefixFollower.start(
+        settingsFollower.prefixFollower = PrefixFollower.start(
                 store, key, READ_PAUSE_MS, clockMs.getAsLong(), new PrefixFollower.Listener() {
                     @Override
                     public void onEntries(Collection<Entry> entries) {
@@ -125,8 +125,8 @@
 
     @Override
     public void close() {
-        if (follower != null) {
-            follower.close();
+        if (prefixFollower != null) {
+            prefixFollower.close();
         }
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/SettingsGossip.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/SettingsGossip.java
@@ -36,8 +36,9 @@
  */
 final class SettingsGossip {
     /**
-     * Enough for all instances that selected this one as a partner, three on average. An instance that is evicted and
-     * that no other selected receives a change only by its own announcements, after seconds instead of milliseconds.
+     * Large enough for all instances that selected this one as a partner, three on average. If one of them is evicted
+     * and no other instance selected it, it receives a change only through its own periodic announcements: after
+     * seconds instead of milliseconds.
      */
     private static final int MAX_RECENT_PEERS = 24;
 
