--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/PoisonRequestStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/PoisonRequestStore.java
@@ -23,7 +23,7 @@
  * Stores in the platform's list which requests targets have crashed under, and passes stored crashes to the decision
  * loop. Needed if all instances crash together and restart without state: otherwise a poison request would crash the
  * same number of targets again. Peers exchange crash counts without it, so entries may be late, and one that can't be
- * written for a minute is dropped.
+ * written for about a minute is dropped.
  */
 public final class PoisonRequestStore {
     private static final KeyValueLog LOG = KeyValueLog.of(PoisonRequestStore.class);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayCaller.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayCaller.java
@@ -51,7 +51,7 @@
             return;
         }
         if (waitMs >= call.remainingMs(now)) {
-            call.complete(new GatewayCall.Outcome.NotSent("no address answers"));
+            call.complete(new GatewayCall.Outcome.NotSent("all addresses are in backoff"));
             return;
         }
         if (waitMs > 0) {
@@ -125,7 +125,7 @@
                 ? remainingMs
                 : Math.min(remainingMs, runtime.options().timeouts().attemptMs());
         Attempt attempt = new Attempt(call, link);
-        attempt.timer = runtime.after(limitMs, () -> attempt.onFailed("no answer in time"));
+        attempt.timer = runtime.after(limitMs, () -> attempt.onFailed("no response within the timeout"));
         link.send(call.method(), call.path(), call.body(), attempt);
     }
 
@@ -188,7 +188,7 @@
         @Override
         public void onBytes(ByteBuffer bytes) {
             if (body.size() + bytes.remaining() > runtime.options().maxResponseBytes()) {
-                onFailed("the answer is larger than " + runtime.options().maxResponseBytes() + " bytes");
+                onFailed("the response is larger than " + runtime.options().maxResponseBytes() + " bytes");
                 return;
             }
             byte[] copy = new byte[bytes.remaining()];
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayExchange.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayExchange.java
@@ -115,7 +115,7 @@
 
             @Override
             public void failed(IOException e) {
-                fail("the answer failed: " + e);
+                fail("reading the response failed: " + e);
             }
         };
     }
@@ -143,7 +143,7 @@
                 listener.onBytes(buffer);
             }
         } catch (IOException e) {
-            fail("the answer broke off: " + e);
+            fail("the response was interrupted: " + e);
         }
     }
 
@@ -174,7 +174,7 @@
         @Override
         protected void handleError(StreamSinkChannel channel, IOException e) {
             super.handleError(channel, e);
-            fail("the request broke off: " + e);
+            fail("the request was interrupted: " + e);
         }
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/StoreClient.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/StoreClient.java
@@ -195,7 +195,7 @@
             JsonNode body = GatewayCodec.parse(response.body());
             return new KeyValueResult.Answered<>(decode.apply(body), revisionOf.applyAsLong(body, response.headers()));
         } catch (IOException | IllegalArgumentException e) {
-            return new KeyValueResult.OutcomeUnknown<>("unreadable answer: " + e.getMessage());
+            return new KeyValueResult.OutcomeUnknown<>("malformed response: " + e.getMessage());
         }
     }
 
