--- a/daemon/src/main/java/org/marjoramswitch/daemon/DeferredPeerSender.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/DeferredPeerSender.java
@@ -8,7 +8,8 @@
 
 /**
  * Forwards messages to the peer links once they have started; used by the components that the links depend on. Messages
- * sent earlier are dropped, as for a peer without a link, because the sender registers again when a link comes up.
+ * sent earlier are dropped, as for a peer without a link, because the instance registers again over each link that
+ * comes up.
  */
 final class DeferredPeerSender implements PeerSender {
     private volatile @Nullable PeerLinks links;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/package-info.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/package-info.java
@@ -1,4 +1,4 @@
-/** The daemon: components, each with its own event loop, around the kernel's decisions. */
+/** The daemon: event loops, one thread each, around the kernel's decisions. */
 @NullMarked
 package org.marjoramswitch.daemon;
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerLinks.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerLinks.java
@@ -52,7 +52,7 @@
     private final Thread thread;
     private final SplittableRandom random;
     private final Map<InstanceId, PeerRoute> routes = new ConcurrentHashMap<>();
-    /** Routes with work to do; each is queued at most once. */
+    /** Routes with new messages, a changed address or a requested disconnect; each is queued at most once. */
     private final Queue<PeerRoute> scheduled = new ConcurrentLinkedQueue<>();
 
     private final List<PeerRoute> lingering = new ArrayList<>();
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerRoute.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerRoute.java
@@ -18,7 +18,7 @@
  * is authenticated, by a rule that gives the same result at both ends: if the initiator does not know of the other
  * connection, the one opened by the instance with the smaller id is kept. An initiator sends the id of the last link
  * that was up on its side. If that is the link the acceptor still holds, the initiator has lost it (the connection went
- * silent in one direction only), and the new connection replaces it at once, whichever side opened it. For example, if
+ * silent on one side only), and the new connection replaces it at once, whichever side opened it. For example, if
  * leith-a and leith-b connect simultaneously, leith-a rejects the proof of leith-b, and leith-b accepts that of leith-a
  * and drops its own attempt.
  */
@@ -186,7 +186,7 @@
         return link == null && unreachableSinceMs >= 0 && nowMs - unreachableSinceMs > options.unreachableAfterMs();
     }
 
-    /** Returns true for the first call since a link was last up. */
+    /** Returns true for the first call since the last link came up. */
     boolean markReportedDown() {
         boolean first = !reportedDown;
         reportedDown = true;
--- a/daemon/src/test/java/org/marjoramswitch/daemon/SettingsFileWatchTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/SettingsFileWatchTest.java
@@ -17,7 +17,7 @@
 
     /**
      * An operator changes the file during the start, after the settings were read and before the first poll. The watch
-     * must report the change; otherwise the instance would keep the previous settings until the next change.
+     * must report the change; otherwise the instance would keep the previous settings indefinitely.
      */
     @Test
     void aChangeDuringTheStartIsReported() throws Exception {
