--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/path/FailureTest.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/path/FailureTest.java
@@ -15,12 +15,12 @@
 import org.marjoramswitch.testkit.engine.EngineOptions;
 import org.marjoramswitch.testkit.engine.ModelEngine;
 import org.marjoramswitch.testkit.service.ServiceFault;
-import org.marjoramswitch.testsuite.path.TestCaller.Answer;
+import org.marjoramswitch.testsuite.path.TestCaller.Response;
 
-/** Failures over real sockets, each with several daemons in this process. */
+/** Failure scenarios over real sockets, each with several daemons in this process. */
 class FailureTest {
     private static final String CUSTOMER = "quai-nord";
-    private static final String FLOODER = "grande-ligne";
+    private static final String FLOODING_CUSTOMER = "grande-ligne";
     private TestFleet fleet;
 
     @AfterEach
@@ -29,12 +29,12 @@
     }
 
     /**
-     * Callers at the surviving instances see whole answers and no failure. The arbiter of their cell is killed while
-     * they wait and while answers stream; the entries find the link down, register with the next instance in rank and
-     * are granted there. Answers under way do not pass the arbiter and go on.
+     * Guards against failed requests at the surviving instances when the arbiter of their cell is killed while
+     * requests wait and responses stream. The entries detect the broken link, register with the next instance in rank
+     * and get their grants there. Responses in progress do not pass through the arbiter and continue.
      */
     @Test
-    void killingTheArbiterCutsNobody() {
+    void requestsSurviveAKilledArbiter() {
         fleet = TestFleet.of(2, EngineOptions.defaults().stepMs(1).maxBatch(4), CUSTOMER)
                 .startInstances(3);
         fleet.caller("entry-1", CUSTOMER).chat(body(0, 2)).join();
@@ -42,172 +42,180 @@
         String arbiter = fleet.arbiterOf(TestFleet.MODEL);
         List<TestCaller> callers = fleet.callersExcept(arbiter, CUSTOMER);
         TestLoad load = TestLoad.start(24, number -> callers.get(number % 2).chat(body(number, 20)));
-        TestFleet.await("answers", () -> load.ended() >= 50);
+        TestFleet.await("responses", () -> load.ended() >= 50);
         fleet.kill(arbiter);
         int before = load.ended();
-        TestFleet.await("answers after the change", () -> load.ended() >= before + 100);
-        assertAllAnswered(load.stop());
+        TestFleet.await("responses after the change of arbiter", () -> load.ended() >= before + 100);
+        assertAllComplete(load.stop());
     }
 
     /**
-     * The caller sees its connection break or an error in the stream, never an end that looks whole. Its entry is killed
-     * after the first tokens; nobody else can go on with the answer, as the caller holds a part of it.
+     * Guards against a truncated response that looks complete when the entry instance is killed after the first
+     * tokens. The caller already has a part of the response, so no other instance can continue it: the caller sees
+     * its connection break or an error in the stream.
      */
     @Test
-    void killingTheEntryNeverMakesAnAnswerLookWhole() {
+    void responseOfAKilledEntryIsVisiblyTruncated() {
         fleet = TestFleet.of(1, EngineOptions.defaults().stepMs(20), CUSTOMER).startInstances(2);
-        CompletableFuture<Answer> call = fleet.caller("entry-1", CUSTOMER).chat(body(1, 1_000));
+        CompletableFuture<Response> call = fleet.caller("entry-1", CUSTOMER).chat(body(1, 1_000));
         TestFleet.await("tokens", () -> fleet.engines().get(0).counts().outputTokens() > 5);
         fleet.kill("entry-1");
-        Answer answer = call.join();
-        assertTrue(answer.brokenOff(), answer.toString());
-        assertTrue(fleet.caller("entry-2", CUSTOMER).chat(body(2, 5)).join().answered());
+        Response response = call.join();
+        assertTrue(response.isTruncated(), response.toString());
+        assertTrue(fleet.caller("entry-2", CUSTOMER).chat(body(2, 5)).join().isSuccessful());
     }
 
     /**
-     * Callers see whole answers. One of two targets dies under load, with answers not begun and answers under way on it;
-     * the former are tried again on the other within the retry budget and refused as not run beyond it, and only answers
-     * that the caller already had a part of end broken.
+     * Guards against needlessly failed requests when one of two targets crashes under load. Requests whose response
+     * has not started are retried on the other target within the retry budget and rejected as not run beyond it. Only
+     * responses of which the caller already has a part end truncated.
      */
     @Test
-    void aTargetThatDiesCutsOnlyAnswersThatHadBegun() {
+    void crashedTargetTruncatesOnlyStartedResponses() {
         fleet = TestFleet.of(2, EngineOptions.defaults().stepMs(1).maxBatch(4), CUSTOMER)
                 .startInstances(2);
         TestLoad load =
                 TestLoad.start(24, number -> fleet.caller("entry-1", CUSTOMER).chat(body(number, 20)));
-        TestFleet.await("answers", () -> load.answered() >= 50);
+        TestFleet.await("responses", () -> load.successful() >= 50);
         fleet.engines().get(0).close();
-        long before = load.answered();
-        TestFleet.await("answers after the death", () -> load.answered() >= before + 100);
-        for (Answer answer : load.stop()) {
-            assertTrueToCaller(answer);
+        long before = load.successful();
+        TestFleet.await("responses after the crash", () -> load.successful() >= before + 100);
+        for (Response response : load.stop()) {
+            assertCompleteOrMarkedAsFailed(response);
         }
     }
 
     /**
-     * The caller sees one whole answer, later than usual. The target takes the request and never sends a byte; after the
-     * progress timeout the entry gives it up and, as the request may be repeated, tries the other target.
+     * Guards against waiting for a target that accepts a request and never sends a byte. After the progress timeout
+     * the entry abandons the attempt and, as the request may be repeated, tries the other target; the response is
+     * complete but late.
      */
     @Test
-    void aSilentTargetIsGivenUpForAnother() {
+    void requestOnASilentTargetIsRetriedAtAnother() {
         fleet = TestFleet.of(2, EngineOptions.defaults().stepMs(1), CUSTOMER).startInstances(2);
         fleet.engines().get(0).setFault(EngineFault.HANG);
-        List<CompletableFuture<Answer>> calls = IntStream.range(0, 8)
+        List<CompletableFuture<Response>> calls = IntStream.range(0, 8)
                 .mapToObj(i -> fleet.caller("entry-1", CUSTOMER).chat(body(i, 10)))
                 .toList();
-        assertAllAnswered(calls.stream().map(CompletableFuture::join).toList());
+        assertAllComplete(calls.stream().map(CompletableFuture::join).toList());
     }
 
     /**
-     * The caller sees one whole answer. The target's connection breaks in the middle of it; the target still runs the
-     * request, so the entry has it resumed at the first token that did not come, and no token comes twice.
+     * Guards against a truncated response when the connection to the target breaks in the middle of it. The target
+     * still runs the request, so the entry resumes the response at the first missing token, and no token is delivered
+     * twice.
      */
     @Test
-    void anAnswerWhoseConnectionBreaksIsResumed() throws Exception {
+    void responseIsResumedAfterABrokenConnection() throws Exception {
         fleet = TestFleet.of(1, EngineOptions.defaults().stepMs(1), CUSTOMER).startInstances(2);
         fleet.engines().get(0).setFault(EngineFault.BREAK_OFF);
         byte[] body = body(1, 50);
-        Answer answer = fleet.caller("entry-2", CUSTOMER).chat(body).join();
-        assertAllAnswered(List.of(answer));
-        assertEquals(ModelEngine.expectedText(body, fleet.engineOptions()), answer.text());
+        Response response = fleet.caller("entry-2", CUSTOMER).chat(body).join();
+        assertAllComplete(List.of(response));
+        assertEquals(ModelEngine.expectedText(body, fleet.engineOptions()), response.text());
     }
 
     /**
-     * The caller sees the tokens that came and then an error in the stream, never the end mark. The target loses the
-     * request in the middle of its answer; a second attempt would weave two answers into one.
+     * Guards against an end mark after a truncated response. The target loses the request in the middle of its
+     * response; a second attempt would mix two responses. The caller gets the received tokens and then an error in
+     * the stream.
      */
     @Test
-    void anAnswerThatBreaksOffIsMarked() {
+    void truncatedResponseEndsWithAnError() {
         fleet = TestFleet.of(1, EngineOptions.defaults().stepMs(10), CUSTOMER).startInstances(2);
-        CompletableFuture<Answer> call = fleet.caller("entry-2", CUSTOMER).chat(body(1, 2_000));
+        CompletableFuture<Response> call = fleet.caller("entry-2", CUSTOMER).chat(body(1, 2_000));
         TestFleet.await("tokens", () -> fleet.engines().get(0).counts().outputTokens() > 5);
         fleet.engines().get(0).restartEmpty();
-        Answer answer = call.join();
-        assertTrue(answer.brokenOff(), answer.toString());
-        assertTrue(answer.body().contains("\"run\":\"unknown\""), answer.toString());
+        Response response = call.join();
+        assertTrue(response.isTruncated(), response.toString());
+        assertTrue(response.body().contains("\"run\":\"unknown\""), response.toString());
     }
 
     /**
-     * The caller of a call that must not run twice sees a failure with an unknown outcome, and the service counts one
-     * execution at most. The service breaks the connection after it ran the call; to try again could run it twice.
+     * Guards against executing a non-repeatable call twice. The service closes the connection after executing the
+     * call; a retry could run it again. The caller gets a failure with unknown outcome, and the service counts one
+     * execution.
      */
     @Test
-    void aServiceCallWithUnknownOutcomeIsNotTriedAgain() {
+    void serviceCallWithUnknownOutcomeIsNotRetried() {
         fleet = TestFleet.of(1, EngineOptions.defaults(), CUSTOMER).startInstances(2);
         fleet.service().setFault(ServiceFault.BREAK_AFTER_EXECUTING);
-        Answer answer = fleet.caller("entry-2", CUSTOMER).service("note-1").join();
-        assertEquals(502, answer.status(), answer.toString());
-        assertEquals("unknown", answer.run());
+        Response response = fleet.caller("entry-2", CUSTOMER).service("note-1").join();
+        assertEquals(502, response.status(), response.toString());
+        assertEquals("unknown", response.run());
         assertEquals(Map.of("note-1", 1), fleet.service().executions());
     }
 
     /**
-     * Callers see whole answers or refusals that say "not run", and no connection breaks. One of three instances gets
-     * its planned stop under load: it says that it leaves, refuses what is new, finishes what it has and only then
-     * closes.
+     * Guards against broken connections in a planned shutdown of one of three instances under load. The instance
+     * announces that it is draining, rejects new requests, completes open ones and only then exits. Callers get
+     * complete responses or rejections marked "not run".
      */
     @Test
-    void aPlannedStopUnderLoadCutsNothing() {
+    void plannedShutdownUnderLoadBreaksNoConnection() {
         fleet = TestFleet.of(2, EngineOptions.defaults().stepMs(1).maxBatch(4), CUSTOMER)
                 .startInstances(3);
         List<TestCaller> callers =
                 fleet.names().stream().map(name -> fleet.caller(name, CUSTOMER)).toList();
         TestLoad load = TestLoad.start(24, number -> callers.get(number % 3).chat(body(number, 20)));
-        TestFleet.await("answers", () -> load.ended() >= 50);
-        Daemon leaving = fleet.daemon("entry-1");
-        leaving.drain();
-        assertTrue(leaving.drained().join());
-        List<Answer> answers = load.stop();
-        assertTrue(answers.stream().anyMatch(answer -> answer.status() == 503), "none met the leaving instance");
-        for (Answer answer : answers) {
-            assertFalse(answer.broken(), answer.toString());
-            assertTrue(answer.answered() || answer.run().equals("not-run"), answer.toString());
+        TestFleet.await("responses", () -> load.ended() >= 50);
+        Daemon draining = fleet.daemon("entry-1");
+        draining.drain();
+        assertTrue(draining.drained().join());
+        List<Response> responses = load.stop();
+        assertTrue(
+                responses.stream().anyMatch(response -> response.status() == 503),
+                "no request reached the draining instance");
+        for (Response response : responses) {
+            assertFalse(response.broken(), response.toString());
+            assertTrue(response.isSuccessful() || response.run().equals("not-run"), response.toString());
         }
     }
 
     /**
-     * Callers see whole answers throughout. The platform's service is away; then an instance is killed and comes back
-     * empty, with nobody to ask but its peers. They still know its address, probe it and hand it the settings in force.
+     * Guards against an instance that cannot serve after a restart while the key-value store is unreachable. The
+     * instance restarts without state; its peers still know its address, probe it and send it the settings in force.
      */
     @Test
-    void anInstanceRestartsEmptyWhileThePlatformIsAway() {
+    void instanceRestartedWithoutStateGetsSettingsFromPeers() {
         fleet = TestFleet.of(1, EngineOptions.defaults().stepMs(1), CUSTOMER).startInstances(3);
         fleet.platform().refuseConnections();
-        assertTrue(fleet.caller("entry-1", CUSTOMER).chat(body(1, 5)).join().answered());
+        assertTrue(fleet.caller("entry-1", CUSTOMER).chat(body(1, 5)).join().isSuccessful());
         Daemon restarted = fleet.restartInstance("entry-1");
         TestFleet.await("settings from a peer", restarted::ready);
-        Answer answer = fleet.caller("entry-1", CUSTOMER).chat(body(2, 5)).join();
-        assertTrue(answer.answered(), answer.toString());
-        assertTrue(fleet.caller("entry-2", CUSTOMER).chat(body(3, 5)).join().answered());
+        Response response = fleet.caller("entry-1", CUSTOMER).chat(body(2, 5)).join();
+        assertTrue(response.isSuccessful(), response.toString());
+        assertTrue(fleet.caller("entry-2", CUSTOMER).chat(body(3, 5)).join().isSuccessful());
     }
 
     /**
-     * The caller is refused as not run, with the time to come back, and is answered once the platform's service is back.
-     * The first instance of a fleet starts while that service is away, so nobody can give it settings: without them it
-     * knows no customer, and to say so of an API key would send its caller away for good.
+     * Guards against rejecting a valid API key as unknown. The first instance of a fleet starts while the key-value
+     * store is unreachable, so it has no settings and knows no customer. The caller is rejected as not run, with
+     * Retry-After, and is served once the store is reachable again.
      */
     @Test
-    void theFirstInstanceWaitsForThePlatform() {
+    void firstInstanceWaitsForTheStore() {
         fleet = TestFleet.of(1, EngineOptions.defaults().stepMs(1), CUSTOMER);
         fleet.platform().answerUnavailable();
         Daemon first = fleet.startInstance("entry-1");
-        Answer refused = fleet.caller("entry-1", CUSTOMER).chat(body(1, 5)).join();
-        assertEquals(503, refused.status(), refused.toString());
-        assertEquals("not-run", refused.run());
-        assertTrue(refused.retryAfterSeconds() > 0, refused.toString());
+        Response rejected = fleet.caller("entry-1", CUSTOMER).chat(body(1, 5)).join();
+        assertEquals(503, rejected.status(), rejected.toString());
+        assertEquals("not-run", rejected.run());
+        assertTrue(rejected.retryAfterSeconds() > 0, rejected.toString());
         assertFalse(first.ready());
         fleet.platform().recover();
         TestFleet.await("settings from the platform", first::ready);
-        assertTrue(fleet.caller("entry-1", CUSTOMER).chat(body(2, 5)).join().answered());
+        assertTrue(fleet.caller("entry-1", CUSTOMER).chat(body(2, 5)).join().isSuccessful());
     }
 
     /**
-     * Callers see whole answers, and only such as had begun on the dead target end broken. The pool's arbiter and one
-     * of its two targets die together, under load: the entries find the next arbiter, which learns from them what is in
-     * flight, and requests without an answer's first byte go to the target that is left.
+     * Guards against needlessly failed requests when the pool's arbiter and one of its two targets crash together
+     * under load. The entries register with the next arbiter and report their requests in flight; requests without a
+     * first response byte go to the remaining target. Only responses that had started on the crashed target end
+     * truncated.
      */
     @Test
-    void anArbiterAndATargetDieTogether() {
+    void requestsSurviveACrashedArbiterAndTarget() {
         fleet = TestFleet.of(2, EngineOptions.defaults().stepMs(1).maxBatch(4), CUSTOMER)
                 .startInstances(3);
         fleet.caller("entry-1", CUSTOMER).chat(body(0, 2)).join();
@@ -215,78 +223,79 @@
         String arbiter = fleet.arbiterOf(TestFleet.MODEL);
         List<TestCaller> callers = fleet.callersExcept(arbiter, CUSTOMER);
         TestLoad load = TestLoad.start(24, number -> callers.get(number % 2).chat(body(number, 20)));
-        TestFleet.await("answers", () -> load.answered() >= 50);
+        TestFleet.await("responses", () -> load.successful() >= 50);
         fleet.kill(arbiter);
         fleet.engines().get(0).close();
-        long before = load.answered();
-        TestFleet.await("answers after both deaths", () -> load.answered() >= before + 100);
-        for (Answer answer : load.stop()) {
-            assertTrueToCaller(answer);
+        long before = load.successful();
+        TestFleet.await("responses after both crashes", () -> load.successful() >= before + 100);
+        for (Response response : load.stop()) {
+            assertCompleteOrMarkedAsFailed(response);
         }
     }
 
     /**
-     * Callers see whole answers. A target is listed as leaving under load; what runs there goes on to its end, and a
-     * few seconds later it has nothing and gets nothing new.
+     * Guards against placing requests on a draining target. A target is listed as leaving under load; its running
+     * requests complete, and a few seconds later it is idle and gets no new ones.
      */
     @Test
-    void aLeavingTargetGetsNoNewWork() {
+    void drainingTargetGetsNoNewRequests() {
         fleet = TestFleet.of(2, EngineOptions.defaults().stepMs(1).maxBatch(4), CUSTOMER)
                 .startInstances(2);
         TestLoad load =
                 TestLoad.start(24, number -> fleet.caller("entry-1", CUSTOMER).chat(body(number, 20)));
         TestFleet.await("work on both", () -> started(0) > 20 && started(1) > 20);
         fleet.platform().putTarget("engine-1", "leaving");
-        TestFleet.await("answers by the other alone", () -> {
+        TestFleet.await("responses by the other target alone", () -> {
             long before = started(0);
             long other = started(1);
-            TestFleet.await("more answers", () -> started(1) >= other + 50);
+            TestFleet.await("more responses", () -> started(1) >= other + 50);
             return started(0) == before;
         });
-        assertAllAnswered(load.stop());
+        assertAllComplete(load.stop());
     }
 
     /**
-     * The small customer sees every request answered while another one floods the fleet. The flooder's own queue fills
-     * and it alone is refused, at once, as not run and with the time to come back.
+     * Guards against rejecting a small customer's requests while another customer floods the fleet. Only the flooding
+     * customer's queue fills, and only its requests are rejected: immediately, as not run and with Retry-After.
      */
     @Test
-    void aFloodingCustomerIsRefusedAlone() {
-        fleet = TestFleet.of(1, EngineOptions.defaults().stepMs(1).maxBatch(4), CUSTOMER, FLOODER);
-        fleet.document().withObject("/customers/" + FLOODER).put("maxQueued", 20);
+    void onlyTheFloodingCustomerIsRejected() {
+        fleet = TestFleet.of(1, EngineOptions.defaults().stepMs(1).maxBatch(4), CUSTOMER, FLOODING_CUSTOMER);
+        fleet.document().withObject("/customers/" + FLOODING_CUSTOMER).put("maxQueued", 20);
         fleet.putSettings();
         fleet.startInstances(2);
-        TestLoad flood =
-                TestLoad.start(200, number -> fleet.caller("entry-1", FLOODER).chat(body(number, 20)));
-        TestFleet.await("refusals", () -> flood.ended() > 200);
+        TestLoad flood = TestLoad.start(
+                200, number -> fleet.caller("entry-1", FLOODING_CUSTOMER).chat(body(number, 20)));
+        TestFleet.await("rejections", () -> flood.ended() > 200);
         TestLoad small =
                 TestLoad.start(2, number -> fleet.caller("entry-2", CUSTOMER).chat(body(number, 10)));
-        TestFleet.await("answers to the small customer", () -> small.ended() >= 40);
-        assertAllAnswered(small.stop());
-        List<Answer> refused =
-                flood.stop().stream().filter(answer -> !answer.answered()).toList();
-        assertFalse(refused.isEmpty());
-        for (Answer answer : refused) {
-            assertEquals(429, answer.status(), answer.toString());
-            assertEquals("not-run", answer.run());
-            assertTrue(answer.retryAfterSeconds() > 0, answer.toString());
+        TestFleet.await("responses to the small customer", () -> small.ended() >= 40);
+        assertAllComplete(small.stop());
+        List<Response> rejected = flood.stop().stream()
+                .filter(response -> !response.isSuccessful())
+                .toList();
+        assertFalse(rejected.isEmpty());
+        for (Response response : rejected) {
+            assertEquals(429, response.status(), response.toString());
+            assertEquals("not-run", response.run());
+            assertTrue(response.retryAfterSeconds() > 0, response.toString());
         }
     }
 
-    /** A whole answer, a marked part of one, or a refusal as not run where the targets that are left are not enough. */
-    private static void assertTrueToCaller(Answer answer) {
-        boolean refused = answer.status() == 503 && answer.run().equals("not-run");
-        assertTrue(answer.answered() || answer.brokenOff() || refused, answer.toString());
+    /** Complete, visibly truncated, or rejected as not run because the remaining targets lack capacity. */
+    private static void assertCompleteOrMarkedAsFailed(Response response) {
+        boolean rejected = response.status() == 503 && response.run().equals("not-run");
+        assertTrue(response.isSuccessful() || response.isTruncated() || rejected, response.toString());
     }
 
     private long started(int engine) {
         return fleet.engines().get(engine).counts().started();
     }
 
-    private static void assertAllAnswered(List<Answer> answers) {
-        for (Answer answer : answers) {
-            assertTrue(answer.answered(), answer.toString());
-            assertTrue(answer.body().stripTrailing().endsWith("[DONE]"), answer.toString());
+    private static void assertAllComplete(List<Response> responses) {
+        for (Response response : responses) {
+            assertTrue(response.isSuccessful(), response.toString());
+            assertTrue(response.body().stripTrailing().endsWith("[DONE]"), response.toString());
         }
     }
 
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/path/PathTest.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/path/PathTest.java
@@ -12,9 +12,9 @@
 import org.marjoramswitch.daemon.settings.HostPort;
 import org.marjoramswitch.testkit.engine.EngineOptions;
 import org.marjoramswitch.testkit.engine.ModelEngine;
-import org.marjoramswitch.testsuite.path.TestCaller.Answer;
+import org.marjoramswitch.testsuite.path.TestCaller.Response;
 
-/** The path of a request from the question for an address to the answer, through every instance. */
+/** The path of a request through every instance, from address discovery to the response. */
 class PathTest {
     private static final String CUSTOMER = "quai-nord";
     private static TestFleet fleet;
@@ -30,28 +30,30 @@
     }
 
     @Test
-    void aStreamedAnswerIsWholeAtEveryInstance() throws Exception {
+    void streamedResponseIsCompleteAtEveryInstance() throws Exception {
         for (String name : fleet.names()) {
             byte[] body = TestCaller.chatBody("who boards at " + name, 40, true);
-            Answer answer = fleet.caller(name, CUSTOMER).chat(body).join();
-            assertEquals(200, answer.status(), answer.body());
-            assertTrue(answer.contentType().startsWith("text/event-stream"), answer.contentType());
-            assertEquals(ModelEngine.expectedText(body, fleet.engineOptions()), answer.text());
-            assertTrue(answer.body().stripTrailing().endsWith("data: [DONE]"), answer.body());
+            Response response = fleet.caller(name, CUSTOMER).chat(body).join();
+            assertEquals(200, response.status(), response.body());
+            assertTrue(response.contentType().startsWith("text/event-stream"), response.contentType());
+            assertEquals(ModelEngine.expectedText(body, fleet.engineOptions()), response.text());
+            assertTrue(response.body().stripTrailing().endsWith("data: [DONE]"), response.body());
         }
     }
 
     @Test
-    void anAnswerInOnePieceIsWhole() throws Exception {
+    void unstreamedResponseIsComplete() throws Exception {
         byte[] body = TestCaller.chatBody("muster list", 25, false);
-        Answer answer = fleet.caller("entry-2", CUSTOMER).chat(body).join();
-        assertEquals(200, answer.status(), answer.body());
-        assertEquals(ModelEngine.expectedText(body, fleet.engineOptions()), answer.text());
+        Response response = fleet.caller("entry-2", CUSTOMER).chat(body).join();
+        assertEquals(200, response.status(), response.body());
+        assertEquals(ModelEngine.expectedText(body, fleet.engineOptions()), response.text());
     }
 
-    /** One instance grants the pool's cell, so two of the three have asked another instance for their slots. */
+    /**
+     * One instance is the arbiter of the pool's cell, so two of the three request their slots from another instance.
+     */
     @Test
-    void oneInstanceGrantsForAll() {
+    void oneInstanceIsTheArbiterForAll() {
         fleet.names()
                 .forEach(name -> assertEquals(
                         200,
@@ -68,21 +70,21 @@
     }
 
     @Test
-    void aServiceCallRunsOnce() {
-        Answer answer = fleet.caller("entry-3", CUSTOMER).service("stop-17").join();
-        assertEquals(200, answer.status(), answer.body());
+    void serviceCallRunsOnce() {
+        Response response = fleet.caller("entry-3", CUSTOMER).service("stop-17").join();
+        assertEquals(200, response.status(), response.body());
         assertEquals(1, fleet.service().executions().get("stop-17"));
     }
 
     @Test
-    void theAddressAnswerNamesInstancesThatServe() {
-        JsonNode answer = fleet.caller("entry-1", CUSTOMER).address();
+    void addressResponseListsServingInstances() {
+        JsonNode response = fleet.caller("entry-1", CUSTOMER).address();
         Set<String> known = new HashSet<>(fleet.names());
-        assertTrue(answer.path("instances").size() >= 1, answer.toString());
-        for (JsonNode instance : answer.path("instances")) {
-            assertTrue(known.contains(instance.path("instance").asText()), answer.toString());
+        assertTrue(response.path("instances").size() >= 1, response.toString());
+        for (JsonNode instance : response.path("instances")) {
+            assertTrue(known.contains(instance.path("instance").asText()), response.toString());
             HostPort address = HostPort.parse(instance.path("address").asText());
-            Answer chat = TestCaller.of(address, TestFleet.apiKey(CUSTOMER))
+            Response chat = TestCaller.of(address, TestFleet.apiKey(CUSTOMER))
                     .chat(TestCaller.chatBody("q", 3, false))
                     .join();
             assertEquals(200, chat.status(), chat.body());
@@ -90,11 +92,11 @@
     }
 
     @Test
-    void anUnknownKeyGetsNothing() {
-        Answer answer = TestCaller.of(fleet.daemon("entry-1").callersAddress(), "key-of-nobody")
+    void unknownKeyIsRejected() {
+        Response response = TestCaller.of(fleet.daemon("entry-1").callersAddress(), "key-of-nobody")
                 .chat(TestCaller.chatBody("q", 3, false))
                 .join();
-        assertEquals(401, answer.status());
-        assertEquals("not-run", answer.run());
+        assertEquals(401, response.status());
+        assertEquals("not-run", response.run());
     }
 }
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/path/TestCaller.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/path/TestCaller.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.CompletableFuture;
 import org.marjoramswitch.daemon.settings.HostPort;
 
-/** A customer's client, which talks to one instance. */
+/** Client of one customer, connected to one instance. */
 final class TestCaller {
-    private static final Duration PATIENCE = Duration.ofSeconds(60);
+    private static final Duration TIMEOUT = Duration.ofSeconds(60);
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final HttpClient CLIENT =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -33,18 +33,18 @@
         return new TestCaller(address, apiKey);
     }
 
-    /** What became of a call, as its caller sees it; {@code broken} where the connection ended too early. */
-    record Answer(int status, String contentType, String body, long retryAfterSeconds, boolean broken) {
-        boolean answered() {
+    /** A call's result as the caller sees it; {@code broken} if the connection ended early. */
+    record Response(int status, String contentType, String body, long retryAfterSeconds, boolean broken) {
+        boolean isSuccessful() {
             return !broken && status == 200;
         }
 
-        /** True where a part of an answer came and no end that looks whole. */
-        boolean brokenOff() {
+        /** Returns true if the response is truncated, so that the end mark is missing. */
+        boolean isTruncated() {
             return status == 200 && !body.contains("[DONE]");
         }
 
-        /** The problem body's {@code run} member, empty where there is none. */
+        /** The problem body's {@code run} member; empty if there is none. */
         String run() {
             try {
                 return contentType.startsWith("application/problem+json")
@@ -55,7 +55,7 @@
             }
         }
 
-        /** The text of a chat answer, streamed or not. */
+        /** Text of a chat response, streamed or not. */
         String text() {
             StringBuilder text = new StringBuilder();
             for (String line : body.split("\n")) {
@@ -78,7 +78,7 @@
         }
     }
 
-    /** A chat request's body that asks for an answer of exactly this many tokens. */
+    /** Body of a chat request that requests exactly this many output tokens. */
     static byte[] chatBody(String prompt, int outputTokens, boolean stream) {
         ObjectNode body = JSON.createObjectNode();
         body.put("model", TestFleet.MODEL).put("stream", stream).put("x_output_tokens", outputTokens);
@@ -86,14 +86,14 @@
         return body.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    CompletableFuture<Answer> chat(byte[] body, String... headers) {
+    CompletableFuture<Response> chat(byte[] body, String... headers) {
         return send(request("/v1/chat/completions", headers)
                 .POST(HttpRequest.BodyPublishers.ofByteArray(body))
                 .build());
     }
 
     /** Calls the plain service; {@code callKey} lets it count executions. */
-    CompletableFuture<Answer> service(String callKey, String... headers) {
+    CompletableFuture<Response> service(String callKey, String... headers) {
         return send(request("/services/" + TestFleet.SERVICE + "/notes", headers)
                 .header("X-Call-Key", callKey)
                 .POST(HttpRequest.BodyPublishers.ofString("{}"))
@@ -101,32 +101,32 @@
     }
 
     JsonNode address() {
-        Answer answer = send(request("/v1/address").GET().build()).join();
+        Response response = send(request("/v1/address").GET().build()).join();
         try {
-            return JSON.readTree(answer.body());
+            return JSON.readTree(response.body());
         } catch (IOException malformed) {
-            throw new IllegalStateException(answer.body(), malformed);
+            throw new IllegalStateException(response.body(), malformed);
         }
     }
 
     private HttpRequest.Builder request(String path, String... headers) {
         HttpRequest.Builder builder = HttpRequest.newBuilder(URI.create("http://" + address + path))
-                .timeout(PATIENCE)
+                .timeout(TIMEOUT)
                 .header("Authorization", "Bearer " + apiKey);
         return headers.length == 0 ? builder : builder.headers(headers);
     }
 
-    /** Keeps what came of the answer also where it breaks off. */
-    private static CompletableFuture<Answer> send(HttpRequest request) {
-        Received received = new Received();
-        return CLIENT.sendAsync(request, received::begin).handle((response, fault) -> received.answer(fault));
+    /** Sends a request and keeps the received part of a truncated response. */
+    private static CompletableFuture<Response> send(HttpRequest request) {
+        ResponseRecorder recorder = new ResponseRecorder();
+        return CLIENT.sendAsync(request, recorder::onHead).handle((response, fault) -> recorder.response(fault));
     }
 
-    private static final class Received {
+    private static final class ResponseRecorder {
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         private HttpResponse.ResponseInfo head;
 
-        private synchronized HttpResponse.BodySubscriber<Void> begin(HttpResponse.ResponseInfo info) {
+        private synchronized HttpResponse.BodySubscriber<Void> onHead(HttpResponse.ResponseInfo info) {
             head = info;
             return HttpResponse.BodySubscribers.ofByteArrayConsumer(part -> part.ifPresent(this::add));
         }
@@ -135,11 +135,11 @@
             bytes.writeBytes(part);
         }
 
-        private synchronized Answer answer(Throwable fault) {
+        private synchronized Response response(Throwable fault) {
             if (head == null) {
-                return new Answer(0, "", String.valueOf(fault), -1, true);
+                return new Response(0, "", String.valueOf(fault), -1, true);
             }
-            return new Answer(
+            return new Response(
                     head.statusCode(),
                     head.headers().firstValue("content-type").orElse(""),
                     bytes.toString(StandardCharsets.UTF_8),
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/path/TestFleet.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/path/TestFleet.java
@@ -21,13 +21,13 @@
 import org.marjoramswitch.testkit.platform.KeyValueGateway;
 import org.marjoramswitch.testkit.service.PlainService;
 
-/** Several daemons in this process, over sockets of 127.0.0.1, with stand-ins of the platform and of targets. */
+/** Several daemons in this process, connected over 127.0.0.1, with fakes of the platform and of targets. */
 final class TestFleet implements AutoCloseable {
     static final String MODEL = "manifest-lm";
     static final String SERVICE = "harbour-app";
     private static final String FLEET_KEY = "a-fleet-key-for-tests";
     private static final HostPort ANY_PORT = HostPort.of("127.0.0.1", 0);
-    private static final long PATIENCE_NS = TimeUnit.SECONDS.toNanos(30);
+    private static final long TIMEOUT_NS = TimeUnit.SECONDS.toNanos(30);
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final KeyValueGateway platform = KeyValueGateway.start();
@@ -41,7 +41,7 @@
         this.engineOptions = engineOptions;
     }
 
-    /** A fleet with these engines, a plain service and customers, and no instance yet. */
+    /** Creates a fleet with engines, a plain service and customers, but no instance. */
     static TestFleet of(int engineCount, EngineOptions options, String... customers) {
         TestFleet fleet = new TestFleet(options);
         ObjectNode pools = fleet.document.putObject("pools");
@@ -54,9 +54,9 @@
             putTarget(targets, "engine-" + i, MODEL, engine.port(), 16);
         }
         putTarget(targets, "service-1", SERVICE, fleet.service.port(), 4);
-        ObjectNode named = fleet.document.putObject("customers");
+        ObjectNode customerSettings = fleet.document.putObject("customers");
         for (String customer : customers) {
-            named.putObject(customer).putArray("apiKeysSha256").add(Sha256.hex(apiKey(customer)));
+            customerSettings.putObject(customer).putArray("apiKeysSha256").add(Sha256.hex(apiKey(customer)));
         }
         fleet.putSettings();
         return fleet;
@@ -70,7 +70,7 @@
                 .put("slots", slots);
     }
 
-    /** Writes the operators' settings as they stand in {@link #document()}. */
+    /** Writes {@link #document()} to the store as the operators' settings. */
     void putSettings() {
         platform.put("settings/piers/base", document.toString());
     }
@@ -83,7 +83,10 @@
         return "key-of-" + customer;
     }
 
-    /** Starts instances entry-1 and on, lists them, and waits until all are ready and know one another. */
+    /**
+     * Starts instances entry-1, entry-2 and so on, lists them, and waits until all are ready and have discovered each
+     * other.
+     */
     TestFleet startInstances(int count) {
         for (int i = 1; i <= count; i++) {
             startInstance("entry-" + i);
@@ -94,11 +97,11 @@
 
     Daemon startInstance(String name) {
         Daemon daemon = start(name, ANY_PORT, ANY_PORT);
-        list(name, "live");
+        listInstance(name, "live");
         return daemon;
     }
 
-    /** Kills an instance; it comes back empty, at the same addresses and without a word to the platform. */
+    /** Kills an instance and starts it without state, at the same addresses and without notifying the platform. */
     Daemon restartInstance(String name) {
         HostPort callers = daemons.get(name).callersAddress();
         HostPort peers = daemons.get(name).peersAddress();
@@ -119,13 +122,13 @@
         return daemon;
     }
 
-    void list(String name, String state) {
+    void listInstance(String name, String state) {
         Daemon daemon = daemons.get(name);
         platform.putInstance(
                 name, daemon.callersAddress().toString(), daemon.peersAddress().toString(), "leith-a", state);
     }
 
-    /** Ends an instance as a kill does: nothing is announced, and open connections break. */
+    /** Stops an instance as a kill does: without notice, breaking its open connections. */
     void kill(String name) {
         daemons.remove(name).close();
     }
@@ -145,7 +148,7 @@
         return List.copyOf(daemons.keySet());
     }
 
-    /** The instance that grants the first cell of the pool. */
+    /** The arbiter of the pool's first cell; empty if there is none. */
     String arbiterOf(String pool) {
         return names().stream()
                 .filter(name -> daemons.get(name).status().arbitratedCells().stream()
@@ -158,7 +161,7 @@
         return TestCaller.of(daemons.get(instance).callersAddress(), apiKey(customer));
     }
 
-    /** A client at each instance but one. */
+    /** A client at each instance except one. */
     List<TestCaller> callersExcept(String instance, String customer) {
         return names().stream()
                 .filter(name -> !name.equals(instance))
@@ -182,16 +185,16 @@
         return service;
     }
 
-    /** Waits until the condition holds; fails where it does not come to hold. */
-    static void await(String what, BooleanSupplier condition) {
-        long giveUpNs = System.nanoTime() + PATIENCE_NS;
+    /** Waits until the condition holds; fails if it does not hold within the timeout. */
+    static void await(String description, BooleanSupplier condition) {
+        long deadlineNs = System.nanoTime() + TIMEOUT_NS;
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < giveUpNs, "waited in vain for: " + what);
-            pause();
+            assertTrue(System.nanoTime() < deadlineNs, "timed out waiting for: " + description);
+            sleep();
         }
     }
 
-    private static void pause() {
+    private static void sleep() {
         try {
             TimeUnit.MILLISECONDS.sleep(5);
         } catch (InterruptedException interrupted) {
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/path/TestLoad.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/path/TestLoad.java
@@ -8,54 +8,54 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.IntFunction;
 import java.util.stream.Stream;
-import org.marjoramswitch.testsuite.path.TestCaller.Answer;
+import org.marjoramswitch.testsuite.path.TestCaller.Response;
 
-/** Keeps a fixed number of calls open, one after the other, and keeps what became of each. */
+/** Closed-loop load: keeps a fixed number of calls open and records each response. */
 final class TestLoad {
-    private static final long PAUSE_AFTER_REFUSAL_MS = 20;
+    private static final long PAUSE_AFTER_FAILURE_MS = 20;
 
-    private final IntFunction<CompletableFuture<Answer>> call;
-    private final Queue<Answer> answers = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger numbers = new AtomicInteger();
-    private final List<CompletableFuture<Void>> lanes;
+    private final IntFunction<CompletableFuture<Response>> call;
+    private final Queue<Response> responses = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger lastNumber = new AtomicInteger();
+    private final List<CompletableFuture<Void>> loops;
     private volatile boolean stopped;
 
-    private TestLoad(int concurrency, IntFunction<CompletableFuture<Answer>> call) {
+    private TestLoad(int concurrency, IntFunction<CompletableFuture<Response>> call) {
         this.call = call;
-        this.lanes = Stream.generate(this::next).limit(concurrency).toList();
+        this.loops = Stream.generate(this::next).limit(concurrency).toList();
     }
 
-    /** @param call makes the call with this number, counted from 1 */
-    static TestLoad start(int concurrency, IntFunction<CompletableFuture<Answer>> call) {
+    /** @param call starts the call with this number, counted from 1 */
+    static TestLoad start(int concurrency, IntFunction<CompletableFuture<Response>> call) {
         return new TestLoad(concurrency, call);
     }
 
     private CompletableFuture<Void> next() {
-        return call.apply(numbers.incrementAndGet()).thenCompose(answer -> {
-            answers.add(answer);
+        return call.apply(lastNumber.incrementAndGet()).thenCompose(response -> {
+            responses.add(response);
             if (stopped) {
                 return CompletableFuture.completedFuture(null);
             }
-            return answer.answered() ? next() : pause().thenCompose(paused -> next());
+            return response.isSuccessful() ? next() : pause().thenCompose(paused -> next());
         });
     }
 
     private static CompletableFuture<Void> pause() {
-        return new CompletableFuture<Void>().completeOnTimeout(null, PAUSE_AFTER_REFUSAL_MS, TimeUnit.MILLISECONDS);
+        return new CompletableFuture<Void>().completeOnTimeout(null, PAUSE_AFTER_FAILURE_MS, TimeUnit.MILLISECONDS);
     }
 
     int ended() {
-        return answers.size();
+        return responses.size();
     }
 
-    long answered() {
-        return answers.stream().filter(Answer::answered).count();
+    long successful() {
+        return responses.stream().filter(Response::isSuccessful).count();
     }
 
-    /** Makes no further call, waits for the open ones and gives all that came. */
-    List<Answer> stop() {
+    /** Starts no further calls, waits for the open ones and returns all responses. */
+    List<Response> stop() {
         stopped = true;
-        lanes.forEach(CompletableFuture::join);
-        return List.copyOf(answers);
+        loops.forEach(CompletableFuture::join);
+        return List.copyOf(responses);
     }
 }
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/target/ConnectionCountTest.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/target/ConnectionCountTest.java
@@ -15,23 +15,23 @@
 import org.marjoramswitch.testkit.engine.EngineOptions;
 import org.marjoramswitch.testkit.engine.ModelEngine;
 
-/** What attempts and questions cost in connections and bytes; docs/TARGETS.md gives the figures. */
+/** Cost of attempts and status queries in connections and bytes; docs/TARGETS.md lists the figures. */
 class ConnectionCountTest {
-    private static final long PATIENT_MS = 15_000;
+    private static final long LONG_TIMEOUT_MS = 15_000;
     private static final int REQUESTS = 1_000;
-    private static final int AT_ONCE = 16;
-    private static final int QUESTIONS = 20;
-    private static final int MOST_BYTES_PER_QUESTION = 400;
+    private static final int CONCURRENCY = 16;
+    private static final int QUERIES = 20;
+    private static final int MAX_BYTES_PER_QUERY = 400;
 
     @Test
-    void thousandRequestsTakeOneConnectionForEachAtOnce() throws Exception {
+    void requestsOpenNoMoreConnectionsThanTheirConcurrency() throws Exception {
         try (ModelEngine engine = ModelEngine.start(EngineOptions.defaults().stepMs(1));
                 TargetFixture fixture = new TargetFixture(TargetClientOptions.defaults())) {
             AtomicLong completed = new AtomicLong();
-            Semaphore slots = new Semaphore(AT_ONCE);
+            Semaphore slots = new Semaphore(CONCURRENCY);
             for (int i = 0; i < REQUESTS; i++) {
                 slots.acquire();
-                fixture.start(engine.port(), PATIENT_MS, fixture.chat(2, i % 2 == 0), new RecordedAttempt() {
+                fixture.start(engine.port(), LONG_TIMEOUT_MS, fixture.chat(2, i % 2 == 0), new RecordedAttempt() {
                     @Override
                     public void onEnd(TargetOutcome outcome, Usage usage) {
                         completed.addAndGet(outcome == TargetOutcome.COMPLETED ? 1 : 0);
@@ -39,18 +39,18 @@
                     }
                 });
             }
-            slots.acquire(AT_ONCE);
+            slots.acquire(CONCURRENCY);
             long opened = fixture.count("targets.connections.opened");
-            System.out.println("event=connection_count requests=" + REQUESTS + " at_once=" + AT_ONCE + " opened="
+            System.out.println("event=connection_count requests=" + REQUESTS + " at_once=" + CONCURRENCY + " opened="
                     + opened + " bytes_per_request=" + fixture.count("targets.attempts.bytes") / REQUESTS);
             assertEquals(REQUESTS, completed.get());
-            assertTrue(opened <= AT_ONCE);
+            assertTrue(opened <= CONCURRENCY);
             assertEquals(opened, engine.server().connectionsAccepted());
         }
     }
 
     @Test
-    void questionsAreSmallAndShareOneConnection() throws Exception {
+    void statusQueriesAreSmallAndShareOneConnection() throws Exception {
         try (ModelEngine engine = ModelEngine.start(EngineOptions.defaults());
                 TargetFixture fixture = new TargetFixture(TargetClientOptions.defaults());
                 LoadReader reader = LoadReader.start(
@@ -59,11 +59,11 @@
                         () -> System.nanoTime() / 1_000_000,
                         () -> List.of(TargetFixture.target(engine.port())),
                         event -> {})) {
-            TargetFixture.await(() -> fixture.count("targets.questions.completed") >= QUESTIONS);
-            long asked = fixture.count("targets.questions.completed");
-            long bytes = fixture.count("targets.questions.bytes") / asked;
-            System.out.println("event=question_count asked=" + asked + " bytes_per_question=" + bytes);
-            assertTrue(bytes < MOST_BYTES_PER_QUESTION);
+            TargetFixture.await(() -> fixture.count("targets.questions.completed") >= QUERIES);
+            long queries = fixture.count("targets.questions.completed");
+            long bytes = fixture.count("targets.questions.bytes") / queries;
+            System.out.println("event=question_count asked=" + queries + " bytes_per_question=" + bytes);
+            assertTrue(bytes < MAX_BYTES_PER_QUERY);
             assertTrue(fixture.count("targets.connections.opened") <= 2);
         }
     }
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/target/EngineSilenceTest.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/target/EngineSilenceTest.java
@@ -11,9 +11,9 @@
 import org.marjoramswitch.testkit.engine.ModelEngine;
 
 class EngineSilenceTest {
-    private static final long SHORT_MS = 200;
-    /** More than several timeouts' worth of steps. */
-    private static final int LONG_ANSWER_TOKENS = 400;
+    private static final long SHORT_TIMEOUT_MS = 200;
+    /** Takes longer than several progress timeouts. */
+    private static final int LONG_RESPONSE_TOKENS = 400;
 
     private ModelEngine engine;
     private TargetFixture fixture;
@@ -31,25 +31,25 @@
     }
 
     private RecordedAttempt run(int tokens, boolean streaming) {
-        return fixture.run(engine.port(), SHORT_MS, fixture.chat(tokens, streaming));
+        return fixture.run(engine.port(), SHORT_TIMEOUT_MS, fixture.chat(tokens, streaming));
     }
 
     @Test
-    void longWholeAnswerOutlastsTheDeadline() throws Exception {
-        // The answer comes whole at its end, after several progress timeouts without a byte. Asked each time, the
-        // engine shows more tokens than before, so the attempt waits, and the caller gets the answer.
-        RecordedAttempt attempt = run(LONG_ANSWER_TOKENS, false);
+    void longUnstreamedResponseOutlastsTheProgressTimeout() throws Exception {
+        // An unstreamed response arrives only at its end, after several progress timeouts without a byte. Each status
+        // query shows more tokens than the previous one, so the attempt keeps waiting and the response is delivered.
+        RecordedAttempt attempt = run(LONG_RESPONSE_TOKENS, false);
         assertEquals(TargetOutcome.COMPLETED, attempt.outcome());
-        assertEquals(LONG_ANSWER_TOKENS, attempt.usage().outputTokens());
+        assertEquals(LONG_RESPONSE_TOKENS, attempt.usage().outputTokens());
         assertEquals(1, engine.counts().started());
     }
 
     @Test
-    void requestInTheEnginesQueueOutlastsTheDeadline() throws Exception {
-        // Another request has the batch's one place. The second is silent for more than a timeout while it stands in
-        // the engine's queue; the engine says so, and the attempt waits for its turn.
-        RecordedAttempt first = run(LONG_ANSWER_TOKENS / 2, true);
-        first.awaitBegun();
+    void requestInTheEnginesQueueOutlastsTheProgressTimeout() throws Exception {
+        // Another request occupies the only slot of the batch. The second one is silent for more than a timeout while
+        // it waits in the engine's queue; the engine reports this, and the attempt keeps waiting.
+        RecordedAttempt first = run(LONG_RESPONSE_TOKENS / 2, true);
+        first.awaitFirstBytes();
         RecordedAttempt second = run(1, true);
         assertEquals(TargetOutcome.COMPLETED, second.outcome());
         assertEquals(TargetOutcome.COMPLETED, first.outcome());
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/target/LoadReaderTest.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/target/LoadReaderTest.java
@@ -21,11 +21,11 @@
 import org.marjoramswitch.testkit.engine.ModelEngine;
 
 class LoadReaderTest {
-    private static final long PATIENT_MS = 15_000;
+    private static final long LONG_TIMEOUT_MS = 15_000;
     private static final int ENDLESS_TOKENS = 4_000;
 
     private final List<Event> events = new CopyOnWriteArrayList<>();
-    private final AtomicInteger timesRead = new AtomicInteger();
+    private final AtomicInteger targetListReads = new AtomicInteger();
     private volatile List<TargetSettings> targets;
     private ModelEngine engine;
     private TargetFixture fixture;
@@ -46,7 +46,7 @@
                 new LoadReaderOptions(20, 20, 1_000),
                 () -> System.nanoTime() / 1_000_000,
                 () -> {
-                    timesRead.incrementAndGet();
+                    targetListReads.incrementAndGet();
                     return targets;
                 },
                 events::add);
@@ -70,20 +70,20 @@
     }
 
     @Test
-    void reportsShowTheBatchAndTheQueue() throws Exception {
+    void reportsContainBatchAndQueue() throws Exception {
         for (int i = 0; i < 3; i++) {
-            fixture.run(engine.port(), PATIENT_MS, fixture.chat(ENDLESS_TOKENS, true));
+            fixture.run(engine.port(), LONG_TIMEOUT_MS, fixture.chat(ENDLESS_TOKENS, true));
         }
         TargetFixture.await(() -> reported(2, 1));
     }
 
     @Test
-    void lostCacheEventsAreCountedAndTheRestComes() throws Exception {
-        // The engine loses every third event. The others come late but come, and the gap in their numbers is counted.
+    void lostCacheEventsAreCountedAndOthersDelivered() throws Exception {
+        // The engine loses every third event. The others arrive late, and the gap in their sequence numbers is counted.
         for (int i = 0; i < 4; i++) {
             assertEquals(
                     TargetOutcome.COMPLETED,
-                    fixture.run(engine.port(), PATIENT_MS, fixture.chat(1, true))
+                    fixture.run(engine.port(), LONG_TIMEOUT_MS, fixture.chat(1, true))
                             .outcome());
         }
         TargetFixture.await(() -> seen(PrefixCached.class).size() == 3);
@@ -92,29 +92,31 @@
     }
 
     @Test
-    void restartedEngineIsHeardAgain() throws Exception {
-        // The engine restarts empty and counts its events anew, below the number that the reader has seen. The reader
-        // notices and begins anew, too, instead of taking every new event for an old one.
+    void eventsOfARestartedEngineAreDelivered() throws Exception {
+        // The engine restarts without state and numbers its events from the start, below the last number that the
+        // reader has seen. The reader must detect this and start over too, instead of ignoring every new event as
+        // old.
         for (int i = 0; i < 2; i++) {
-            fixture.run(engine.port(), PATIENT_MS, fixture.chat(1, true)).outcome();
+            fixture.run(engine.port(), LONG_TIMEOUT_MS, fixture.chat(1, true)).outcome();
         }
         TargetFixture.await(() -> seen(PrefixCached.class).size() == 2);
         engine.restartEmpty();
         TargetFixture.await(() -> fixture.count("targets.cache_events.restarts") == 1);
         assertEquals(
                 TargetOutcome.COMPLETED,
-                fixture.run(engine.port(), PATIENT_MS, fixture.chat(1, true)).outcome());
+                fixture.run(engine.port(), LONG_TIMEOUT_MS, fixture.chat(1, true))
+                        .outcome());
         TargetFixture.await(() -> seen(PrefixCached.class).size() == 3);
     }
 
     @Test
-    void unwatchedTargetIsNotReported() throws Exception {
+    void removedTargetIsNotReported() throws Exception {
         TargetFixture.await(() -> !events.isEmpty());
         targets = List.of();
-        int before = timesRead.get();
-        TargetFixture.await(() -> timesRead.get() >= before + 2);
-        int answered = events.size();
-        fixture.run(engine.port(), PATIENT_MS, fixture.chat(50, true)).outcome();
-        assertEquals(answered, events.size());
+        int before = targetListReads.get();
+        TargetFixture.await(() -> targetListReads.get() >= before + 2);
+        int eventsBefore = events.size();
+        fixture.run(engine.port(), LONG_TIMEOUT_MS, fixture.chat(50, true)).outcome();
+        assertEquals(eventsBefore, events.size());
     }
 }
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/target/RawTarget.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/target/RawTarget.java
@@ -14,20 +14,20 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A target that gives the n-th request the n-th of a list of answers, byte for byte, whatever HTTP says of them. An
- * empty answer closes the connection; so does every answer that says {@code Connection: close} or has no framing.
+ * Target that sends the n-th of a list of responses to the n-th request, byte for byte, valid HTTP or not. The
+ * connection is closed after an empty response, one with {@code Connection: close} and one without framing.
  */
 final class RawTarget implements AutoCloseable {
     private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final Iterator<String> answers;
+    private final Iterator<String> responses;
     private final AtomicInteger connections = new AtomicInteger();
 
-    private RawTarget(List<String> answers) throws IOException {
-        this.answers = answers.iterator();
+    private RawTarget(List<String> responses) throws IOException {
+        this.responses = responses.iterator();
     }
 
-    static RawTarget start(String... answers) throws IOException {
-        RawTarget target = new RawTarget(List.of(answers));
+    static RawTarget start(String... responses) throws IOException {
+        RawTarget target = new RawTarget(List.of(responses));
         Thread thread = new Thread(target::acceptAll, "raw-target");
         thread.setDaemon(true);
         thread.start();
@@ -48,7 +48,7 @@
                 connections.incrementAndGet();
                 serve(socket);
             } catch (IOException e) {
-                // The client cut the connection, or the test is over: on to the next connection, if any.
+                // The client closed the connection, or the test has ended: accept the next connection, if any.
             }
         }
     }
@@ -58,18 +58,18 @@
                 new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
         OutputStream out = socket.getOutputStream();
         while (readRequest(in)) {
-            String answer = answers.next();
-            out.write(answer.getBytes(StandardCharsets.ISO_8859_1));
+            String response = responses.next();
+            out.write(response.getBytes(StandardCharsets.ISO_8859_1));
             out.flush();
-            if (!isKeptAlive(answer.toLowerCase(Locale.ROOT))) {
+            if (!isKeptAlive(response.toLowerCase(Locale.ROOT))) {
                 return;
             }
         }
     }
 
-    private static boolean isKeptAlive(String answer) {
-        boolean framed = answer.contains("content-length") || answer.contains("chunked");
-        return framed && !answer.contains("connection: close");
+    private static boolean isKeptAlive(String response) {
+        boolean framed = response.contains("content-length") || response.contains("chunked");
+        return framed && !response.contains("connection: close");
     }
 
     private static boolean readRequest(BufferedReader in) throws IOException {
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/target/RecordedAttempt.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/target/RecordedAttempt.java
@@ -10,12 +10,12 @@
 import org.marjoramswitch.kernel.model.TargetOutcome;
 import org.marjoramswitch.kernel.model.Usage;
 
-/** What one attempt gave to its listener. */
+/** Records everything that one attempt reports to its listener. */
 class RecordedAttempt implements AttemptListener {
-    private static final long PATIENCE_S = 20;
+    private static final long TIMEOUT_S = 20;
 
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private final CountDownLatch begun = new CountDownLatch(1);
+    private final CountDownLatch firstBytes = new CountDownLatch(1);
     private final CompletableFuture<TargetOutcome> end = new CompletableFuture<>();
     private volatile int status;
     private volatile long progress;
@@ -29,7 +29,7 @@
     @Override
     public synchronized void onBytes(byte[] bytes) {
         body.writeBytes(bytes);
-        begun.countDown();
+        firstBytes.countDown();
     }
 
     @Override
@@ -41,22 +41,22 @@
     public void onEnd(TargetOutcome outcome, Usage endUsage) {
         usage = endUsage;
         if (!end.complete(outcome)) {
-            throw new IllegalStateException("a second end: " + outcome);
+            throw new IllegalStateException("second end of an attempt: " + outcome);
         }
     }
 
     TargetOutcome outcome() throws Exception {
-        return end.get(PATIENCE_S, TimeUnit.SECONDS);
+        return end.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    /** Waits for the answer's first bytes. */
-    void awaitBegun() throws InterruptedException {
-        if (!begun.await(PATIENCE_S, TimeUnit.SECONDS)) {
-            throw new IllegalStateException("no answer");
+    /** Blocks until the first bytes of the response have been received. */
+    void awaitFirstBytes() throws InterruptedException {
+        if (!firstBytes.await(TIMEOUT_S, TimeUnit.SECONDS)) {
+            throw new IllegalStateException("no response in time");
         }
     }
 
-    /** 0 while there is no head. */
+    /** Status of the response; 0 until its head has been received. */
     int status() {
         return status;
     }
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/target/ServiceAttemptTest.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/target/ServiceAttemptTest.java
@@ -12,15 +12,15 @@
 import org.marjoramswitch.testkit.service.ServiceFault;
 
 class ServiceAttemptTest {
-    private static final long PATIENT_MS = 15_000;
-    private static final long SHORT_MS = 300;
+    private static final long LONG_TIMEOUT_MS = 15_000;
+    private static final long SHORT_TIMEOUT_MS = 300;
 
     private PlainService service;
     private TargetFixture fixture;
 
     @BeforeEach
     void start() throws Exception {
-        service = PlainService.start(1, 2 * SHORT_MS);
+        service = PlainService.start(1, 2 * SHORT_TIMEOUT_MS);
         fixture = new TargetFixture(TargetClientOptions.defaults());
     }
 
@@ -36,20 +36,20 @@
 
     @Test
     void callIsExecutedOnceAndAnswered() throws Exception {
-        RecordedAttempt attempt = run(PATIENT_MS);
+        RecordedAttempt attempt = run(LONG_TIMEOUT_MS);
         assertEquals(TargetOutcome.COMPLETED, attempt.outcome());
         assertEquals("executed call-1", attempt.text());
         assertEquals(1, service.executions().get("call-1"));
     }
 
     @Test
-    void breakAfterExecutingIsNoRefusal() throws Exception {
-        // The service executes the call and dies before it answers, over a pooled connection. To the client this looks
-        // like a connection that had been closed before; since the request had gone out, the outcome is broken and the
-        // client sends nothing again: the call is executed once.
-        run(PATIENT_MS).outcome();
+    void crashAfterExecutingIsBroken() throws Exception {
+        // The service executes a call sent over a pooled connection and crashes before it responds. To the client
+        // this looks like a connection that was closed earlier; since the request was sent, the outcome is "broken"
+        // and nothing is resent: the call is executed once.
+        run(LONG_TIMEOUT_MS).outcome();
         service.setFault(ServiceFault.BREAK_AFTER_EXECUTING);
-        RecordedAttempt attempt = run(PATIENT_MS);
+        RecordedAttempt attempt = run(LONG_TIMEOUT_MS);
         assertEquals(TargetOutcome.BROKEN_BEFORE_ANSWER, attempt.outcome());
         assertEquals(1, service.executions().get("call-2"));
         assertEquals(0, service.doubled());
@@ -57,55 +57,59 @@
 
     @Test
     void hangEndsAtTheDeadline() throws Exception {
-        // The service executes the call and never answers. A plain service cannot be asked what became of a call, so
-        // the attempt ends at the first deadline, and the call has run once.
+        // The service executes the call and never responds. A plain service has no status query, so the attempt ends
+        // at the first deadline, and the call has run once.
         service.setFault(ServiceFault.HANG);
-        assertEquals(TargetOutcome.SILENT_BEFORE_ANSWER, run(SHORT_MS).outcome());
+        assertEquals(TargetOutcome.SILENT_BEFORE_ANSWER, run(SHORT_TIMEOUT_MS).outcome());
         assertEquals(1, service.executions().get("call-1"));
     }
 
     @Test
-    void slowAnswerWithinTheDeadlineIsWhole() throws Exception {
+    void slowResponseWithinTheDeadlineIsComplete() throws Exception {
         service.setFault(ServiceFault.SLOW);
-        assertEquals(TargetOutcome.COMPLETED, run(PATIENT_MS).outcome());
+        assertEquals(TargetOutcome.COMPLETED, run(LONG_TIMEOUT_MS).outcome());
     }
 
     @Test
-    void refusalsHaveNotRun() throws Exception {
-        // One refusal in words, one at connect: neither call was executed, and both may be said not to have run.
+    void rejectedCallsHaveNotRun() throws Exception {
+        // One call is rejected by a response, the other by a refused connect: both are reported as not run.
         service.setFault(ServiceFault.NOT_STARTED);
-        TargetOutcome inWords = run(PATIENT_MS).outcome();
+        TargetOutcome byResponse = run(LONG_TIMEOUT_MS).outcome();
         service.server().refuseConnections();
         TargetFixture.await(() -> fixture.openConnections() == 0);
-        TargetOutcome atConnect = run(PATIENT_MS).outcome();
-        assertTrue(inWords.notRun() && atConnect.notRun());
+        TargetOutcome atConnect = run(LONG_TIMEOUT_MS).outcome();
+        assertTrue(byResponse.notRun() && atConnect.notRun());
         assertTrue(service.executions().isEmpty());
     }
 
     @Test
-    void callIsNotSentOnceItsCallersTimeIsOver() throws Exception {
-        // The caller has given up. Its request was started at the last moment, on a busy instance, and gets its
-        // connection
-        // after the deadline; the decisions' cancellation is not there yet. The service would work for nobody.
-        long overNs = System.nanoTime() - 1;
+    void callIsNotSentAfterTheCallersDeadline() throws Exception {
+        // The caller has timed out. Its request was started just before the deadline, on a busy instance, and gets its
+        // connection after the deadline, before the cancellation arrives. The service would execute the call in vain.
+        long expiredDeadlineNs = System.nanoTime() - 1;
         for (int i = 0; i < 2; i++) {
             RecordedAttempt late = fixture.run(
-                    service.port(), PATIENT_MS, fixture.serviceCall().withTimeouts(overNs, PATIENT_MS));
+                    service.port(),
+                    LONG_TIMEOUT_MS,
+                    fixture.serviceCall().withTimeouts(expiredDeadlineNs, LONG_TIMEOUT_MS));
             assertEquals(TargetOutcome.CANCELLED, late.outcome());
         }
         assertTrue(service.executions().isEmpty());
-        assertEquals(TargetOutcome.COMPLETED, run(PATIENT_MS).outcome());
+        assertEquals(TargetOutcome.COMPLETED, run(LONG_TIMEOUT_MS).outcome());
     }
 
     @Test
-    void callDoesNotMeetAConnectionThatWentSilentUnused() throws Exception {
-        // A pooled connection goes silent. A call that may not be repeated and met it would end as unknown though it
-        // never ran, so a call to a service uses a pooled connection only a moment after its last use: here, never.
-        try (TargetFixture cautious =
+    void callDoesNotUseASilentIdleConnection() throws Exception {
+        // A pooled connection goes silent. A non-repeatable call on it would end with an unknown outcome though it
+        // never ran, so service calls reuse a connection only for a short time after its last use: in this test,
+        // never.
+        try (TargetFixture nonReusing =
                 new TargetFixture(TargetClientOptions.defaults().withIdleAgeMs(60_000, 0))) {
-            cautious.run(service.port(), PATIENT_MS, cautious.serviceCall()).outcome();
+            nonReusing
+                    .run(service.port(), LONG_TIMEOUT_MS, nonReusing.serviceCall())
+                    .outcome();
             service.server().silenceOpenConnections();
-            RecordedAttempt second = cautious.run(service.port(), PATIENT_MS, cautious.serviceCall());
+            RecordedAttempt second = nonReusing.run(service.port(), LONG_TIMEOUT_MS, nonReusing.serviceCall());
             assertEquals(TargetOutcome.COMPLETED, second.outcome());
         }
     }
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/target/TargetFixture.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/target/TargetFixture.java
@@ -23,10 +23,10 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** A client of targets with one IO thread, and the calls that the tests send. */
+/** Target client with one I/O thread, and the calls that the tests send. */
 final class TargetFixture implements AutoCloseable {
     private static final Pattern CONTENT = Pattern.compile("\"content\":\"([^\"]*)\"");
-    private static final long PATIENCE_MS = 20_000;
+    private static final long TIMEOUT_MS = 20_000;
 
     final MetricRegistry registry = new MetricRegistry();
     final UndertowTargetClient client;
@@ -95,26 +95,26 @@
         return registry.counter(metric).getCount();
     }
 
-    /** Connections whose close the client has not seen. */
+    /** Connections that are open from the client's point of view. */
     int openConnections() {
         return (Integer) registry.getGauges().get("targets.connections.open").getValue();
     }
 
-    /** The words of an answer, streamed or whole. */
-    static String words(String answer) {
-        StringBuilder words = new StringBuilder();
-        Matcher matcher = CONTENT.matcher(answer);
+    /** Text of a response, streamed or not. */
+    static String contentOf(String response) {
+        StringBuilder content = new StringBuilder();
+        Matcher matcher = CONTENT.matcher(response);
         while (matcher.find()) {
-            words.append(matcher.group(1));
+            content.append(matcher.group(1));
         }
-        return words.toString();
+        return content.toString();
     }
 
     static void await(BooleanSupplier condition) throws InterruptedException {
-        long deadlineNanos = System.nanoTime() + PATIENCE_MS * 1_000_000;
+        long deadlineNs = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > deadlineNanos) {
-                throw new IllegalStateException("the condition did not come about");
+            if (System.nanoTime() > deadlineNs) {
+                throw new IllegalStateException("condition not met in time");
             }
             Thread.sleep(2);
         }
