--- a/daemon/src/test/java/org/marjoramswitch/daemon/configuration/ConfigurationOverGatewayTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/configuration/ConfigurationOverGatewayTest.java
@@ -14,10 +14,10 @@
         // permanently. Then the store accepts calls without responding, and an instance restarts without settings. Each
         // change must become active everywhere, and no instance may return to an older generation.
         try (GatewayFleet fleet = GatewayFleet.start(ConfigurationOptions.DEFAULT, 9)) {
-            fleet.gateway.loseAnswers(1);
+            fleet.gateway.dropResponses(1);
             fleet.put(2);
             fleet.instances.awaitWeight("acme", 2);
-            fleet.gateway.stickWatches();
+            fleet.gateway.stallWatches();
             fleet.put(3);
             fleet.instances.awaitWeight("acme", 3);
             fleet.gateway.hang();
--- a/daemon/src/test/java/org/marjoramswitch/daemon/configuration/ConfigurationReport.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/configuration/ConfigurationReport.java
@@ -82,7 +82,7 @@
 
     private static void reportSilentWatches(GatewayFleet fleet) {
         for (int weight = 100; weight < 105; weight++) {
-            fleet.gateway.stickWatches();
+            fleet.gateway.stallWatches();
             LOG.info("configuration_silent_watches", "in_force_us", timeUs(fleet, weight));
         }
     }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/platform/ClaimStoreTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/platform/ClaimStoreTest.java
@@ -135,7 +135,7 @@
         // The store creates the entry and the connection is cut. The entry instance does not know whether it may run
         // the request; it writes the claim again, finds its own claim id, and runs the request once.
         claimed(claims.claim(CUSTOMER, Sha256.hex("warm-up"), "a-0"));
-        platform.gateway.loseAnswers(1);
+        platform.gateway.dropResponses(1);
         ClaimResult.Claimed result = claimed(claims.claim(CUSTOMER, Sha256.hex("stop-7"), "a-1"));
         assertEquals(
                 1, platform.metrics.meter("platform.claims.uncertain-groups").getCount());
@@ -147,7 +147,7 @@
     void lostLeaseResponseOnlyCostsAnotherLease() throws Exception {
         // The first call, which requests the lease, takes effect but its response is lost. A second lease is requested
         // and the claim succeeds; the first lease expires.
-        platform.gateway.loseAnswers(1);
+        platform.gateway.dropResponses(1);
         claimed(claims.claim(CUSTOMER, Sha256.hex("stop-7"), "a-1"));
         assertEquals(2, platform.gateway.calls(CallKind.LEASE_GRANT));
     }
@@ -206,7 +206,7 @@
         // The store has lost all leases while this entry instance assumes that its own is valid. The next claim is
         // rejected because of the unknown lease, requests a new one, and succeeds.
         claimed(claims.claim(CUSTOMER, Sha256.hex("warm-up"), "a-0"));
-        platform.gateway.lapseLeases();
+        platform.gateway.expireAllLeases();
         claimed(claims.claim(CUSTOMER, Sha256.hex("stop-7"), "a-1"));
         assertEquals(2, platform.gateway.calls(CallKind.LEASE_GRANT));
     }
@@ -220,7 +220,7 @@
         long now = System.currentTimeMillis();
         assertTrue(first.usableUntilMs() >= now + OPTIONS.retentionMs());
         platform.skippedMs.set(2 * OPTIONS.retentionMs());
-        platform.gateway.lapseLeases();
+        platform.gateway.expireAllLeases();
         claimed(claims("b", OPTIONS).claim(CUSTOMER, Sha256.hex("stop-7"), "b-1"));
         assertTrue(nowMs() > first.usableUntilMs());
     }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/platform/EtcdGatewayStoreTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/platform/EtcdGatewayStoreTest.java
@@ -108,7 +108,7 @@
     void outcomeIsUnknownIfTheResponseToAWriteIsLost() throws Exception {
         // The store performs the write, then the connection is cut. The writer must not assume that the write failed,
         // and the client must not send it a second time; a read resolves the outcome.
-        platform.gateway.loseAnswers(1);
+        platform.gateway.dropResponses(1);
         assertInstanceOf(KeyValueResult.OutcomeUnknown.class, put("k", "v"));
         assertEquals(1, platform.gateway.calls(CallKind.TXN));
         assertEquals("v", answered(store.get("k")).value());
@@ -131,7 +131,7 @@
     void outcomeOfAWriteIsUnknownAfterStatus503() throws Exception {
         // etcd responds "request timed out" with status 503 to writes that it may still perform, so the status must not
         // be interpreted as "not done".
-        platform.gateway.answerUnavailable();
+        platform.gateway.respondUnavailable();
         assertInstanceOf(KeyValueResult.OutcomeUnknown.class, put("k", "v"));
     }
 
@@ -238,7 +238,7 @@
         List<WatchEvent> events = Collections.synchronizedList(new ArrayList<>());
         try (AutoCloseable watch = watching.watch("settings/", platform.gateway.revision(), events::add)) {
             until(() -> platform.gateway.waitingWatches() == 1);
-            platform.gateway.stickWatches();
+            platform.gateway.stallWatches();
             platform.gateway.put("settings/a", "1");
             platform.gateway.put("settings/a", "2");
             until(() -> events.size() == 2);
@@ -262,7 +262,7 @@
         CompletableFuture<WatchEvent> first = new CompletableFuture<>();
         watching.watch("settings/", platform.gateway.revision(), first::complete);
         until(() -> platform.gateway.waitingWatches() == 1);
-        platform.gateway.stickWatches();
+        platform.gateway.stallWatches();
         platform.gateway.restoreEmpty();
         platform.gateway.put("settings/a", "restored");
         assertEquals(new WatchEvent.Broken(), await(first));
--- a/daemon/src/test/java/org/marjoramswitch/daemon/platform/PlatformReport.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/platform/PlatformReport.java
@@ -47,7 +47,7 @@
             TimeUnit.SECONDS.sleep(60);
             LOG.info("platform_watch_minute", "calls", platform.gateway.calls() - before);
             for (int i = 0; i < 5; i++) {
-                platform.gateway.stickWatches();
+                platform.gateway.stallWatches();
                 long startNs = System.nanoTime();
                 long seen = events.get();
                 platform.gateway.put("settings/a", "v" + i);
@@ -71,7 +71,7 @@
     void faults() throws Exception {
         reportFault("refused", platform -> platform.gateway.refuseConnections());
         reportFault("hanging", platform -> platform.gateway.hang());
-        reportFault("status_503", platform -> platform.gateway.answerUnavailable());
+        reportFault("status_503", platform -> platform.gateway.respondUnavailable());
         reportFault("rate_limited", platform -> platform.gateway.limitCallsPerSecond(0));
     }
 
--- a/testkit/src/main/java/org/marjoramswitch/testkit/platform/GatewayFaults.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/platform/GatewayFaults.java
@@ -37,7 +37,7 @@
         delayMs = now;
     }
 
-    void loseAnswers(int writes) {
+    void dropResponses(int writes) {
         answersToLose.set(writes);
     }
 
--- a/testkit/src/main/java/org/marjoramswitch/testkit/platform/KeyValueGateway.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/platform/KeyValueGateway.java
@@ -72,7 +72,7 @@
     /** Starts the stand-in with a clock of the test's own, by which leases lapse. */
     public static KeyValueGateway start(LongSupplier nowMs) {
         KeyValueGateway gateway = new KeyValueGateway(nowMs);
-        gateway.watchThreads.execute(gateway::expireLeases);
+        gateway.watchThreads.execute(gateway::runLeaseExpiry);
         return gateway;
     }
 
@@ -96,7 +96,7 @@
     }
 
     /** Answers every call with status 503 and does nothing. */
-    public void answerUnavailable() {
+    public void respondUnavailable() {
         faults.outage(GatewayFaults.Outage.UNAVAILABLE);
     }
 
@@ -111,8 +111,8 @@
     }
 
     /** Carries out the next {@code writes} writes and cuts their connections in place of an answer. */
-    public void loseAnswers(int writes) {
-        faults.loseAnswers(writes);
+    public void dropResponses(int writes) {
+        faults.dropResponses(writes);
     }
 
     /** Answers the next {@code count} calls with status 429. */
@@ -131,7 +131,7 @@
     }
 
     /** All watches waiting now stay open and bring nothing more; new ones work. */
-    public void stickWatches() {
+    public void stallWatches() {
         watches.forEach(WatchStream::stick);
     }
 
@@ -143,7 +143,7 @@
     }
 
     /** Ends all leases at once, with the entries that hang on them. */
-    public void lapseLeases() {
+    public void expireAllLeases() {
         synchronized (table) {
             table.leaseIds().forEach(table::revoke);
         }
@@ -345,7 +345,7 @@
         exchange.getResponseSender().send(reply.body().toString());
     }
 
-    private void expireLeases() {
+    private void runLeaseExpiry() {
         try {
             while (!closed) {
                 synchronized (table) {
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/path/FailureTest.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/path/FailureTest.java
@@ -189,7 +189,7 @@
     @Test
     void theFirstInstanceWaitsForThePlatform() {
         fleet = TestFleet.of(1, EngineOptions.defaults().stepMs(1), CUSTOMER);
-        fleet.platform().answerUnavailable();
+        fleet.platform().respondUnavailable();
         Daemon first = fleet.startInstance("entry-1");
         Answer refused = fleet.caller("entry-1", CUSTOMER).chat(body(1, 5)).join();
         assertEquals(503, refused.status(), refused.toString());
--- a/tool/src/test/java/org/marjoramswitch/tool/settings/SettingsWriterTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/settings/SettingsWriterTest.java
@@ -109,7 +109,7 @@
     // may have failed; a plain second try would meet its own change as another's and report a conflict.
     @Test
     void settlesALostAnswerByReadingBack() throws Exception {
-        gateway.loseAnswers(1);
+        gateway.dropResponses(1);
         assertEquals(new PutResult.Written("c1", true), put(change("", "c1", 1)));
         assertEquals(List.of("c1"), changeIds());
     }
@@ -168,7 +168,7 @@
     void saysUnknownWhereTheServiceStaysAway() throws Exception {
         FaultyStore store = new FaultyStore(connection.store(), call -> {
             call.run();
-            gateway.answerUnavailable();
+            gateway.respondUnavailable();
             return new KeyValueResult.OutcomeUnknown<>("cut");
         });
         PutResult.OutcomeUnknown unknown =
@@ -179,7 +179,7 @@
 
     @Test
     void saysUnavailableWhereNothingWasSent() throws Exception {
-        gateway.answerUnavailable();
+        gateway.respondUnavailable();
         assertInstanceOf(PutResult.Unavailable.class, put(change("", "c1", 1)));
     }
 
