--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/EngineCounts.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/EngineCounts.java
@@ -23,7 +23,7 @@
         double busySlotMs,
         double idleSlotMs) {
     /** Request ids that were executed more than once. */
-    public long doubled() {
+    public long duplicateExecutions() {
         return executions.values().stream().filter(times -> times > 1).count();
     }
 
--- a/testkit/src/main/java/org/marjoramswitch/testkit/service/PlainService.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/service/PlainService.java
@@ -57,7 +57,7 @@
     }
 
     /** Calls that were executed more than once. */
-    public long doubled() {
+    public long duplicateExecutions() {
         return executions.values().stream().filter(times -> times > 1).count();
     }
 
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/target/ServiceAttemptTest.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/target/ServiceAttemptTest.java
@@ -52,7 +52,7 @@
         RecordedAttempt attempt = run(PATIENT_MS);
         assertEquals(TargetOutcome.BROKEN_BEFORE_ANSWER, attempt.outcome());
         assertEquals(1, service.executions().get("call-2"));
-        assertEquals(0, service.doubled());
+        assertEquals(0, service.duplicateExecutions());
     }
 
     @Test
--- a/tool/src/main/java/org/marjoramswitch/tool/demo/DemoTargets.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/demo/DemoTargets.java
@@ -66,7 +66,7 @@
 
     /** Requests that may not be repeated and were executed more than once. */
     long doubled() {
-        return services.stream().mapToLong(PlainService::doubled).sum();
+        return services.stream().mapToLong(PlainService::duplicateExecutions).sum();
     }
 
     /** How many of these calls were executed all the same. */
--- a/tool/src/test/java/org/marjoramswitch/tool/load/LoadRunTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/load/LoadRunTest.java
@@ -147,7 +147,7 @@
             assertEquals(REQUESTS, report.broken(), report::toString);
             assertEquals(0, report.retries());
             assertEquals(REQUESTS, service.executions().size());
-            assertEquals(0, service.doubled());
+            assertEquals(0, service.duplicateExecutions());
         }
     }
 }
