--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchRun.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchRun.java
@@ -39,7 +39,7 @@
     private final BenchCase benchCase;
     private final String policy;
     private final VirtualClock clock = VirtualClock.create();
-    private final EngineModels engines;
+    private final VirtualEngines engines;
     private final Callers callers;
     private final Router router;
     private final ServiceMeter service;
@@ -59,7 +59,7 @@
         this.policy = policy;
         down = new boolean[shape().instances()];
         IntStream.range(0, down.length).forEach(entry -> openByEntry.add(new LinkedHashSet<>()));
-        engines = EngineModels.create(shape(), clock, new EngineListener());
+        engines = VirtualEngines.create(shape(), clock, new EngineListener());
         service = ServiceMeter.create(loads(), engines);
         callers = Callers.create(loads(), clock, entry -> down[entry], this::arrived, down.length, seed);
         router = policyFactory.apply(this);
@@ -125,7 +125,7 @@
         return clock;
     }
 
-    EngineModels engines() {
+    VirtualEngines engines() {
         return engines;
     }
 
@@ -244,7 +244,7 @@
     }
 
     private void reportLoads() {
-        for (EngineModel engine : engines.all()) {
+        for (VirtualEngine engine : engines.all()) {
             LoadReport report = engine.report();
             IntStream.range(0, down.length)
                     .filter(instance -> router.readsReports(instance, engine.index))
@@ -258,7 +258,7 @@
         }
     }
 
-    private long oneWayUs(BenchRequest request, EngineModel engine) {
+    private long oneWayUs(BenchRequest request, VirtualEngine engine) {
         return shape().oneWayUs(shape().dataCentreOf(request.entry), engine.dataCentre);
     }
 
@@ -308,9 +308,9 @@
     }
 
     /** Carries what happens in the engines to the meters at once, and to the entries with the network's delay. */
-    private final class EngineListener implements EngineModel.Listener {
+    private final class EngineListener implements VirtualEngine.Listener {
         @Override
-        public void started(EngineModel.Run run) {
+        public void started(VirtualEngine.Run run) {
             BenchRequest request = run.request;
             long uncachedTokens = request.spec.promptTokens() - run.cachedPromptTokens();
             if (request.waiting()) {
@@ -333,23 +333,23 @@
         }
 
         @Override
-        public void progressed(EngineModel engine, EngineModel.Run run, long outputTokens) {
+        public void progressed(VirtualEngine engine, VirtualEngine.Run run, long outputTokens) {
             atEntry(engine, run.request, () -> router.progressed(run.request, outputTokens));
         }
 
         @Override
-        public void stopped(EngineModel.Run run) {
+        public void stopped(VirtualEngine.Run run) {
             service.noteRunning(run.request, -1, clock.nowUs());
             service.addService(run.request, (double) run.deliveredTokens());
         }
 
         @Override
-        public void ended(EngineModel engine, EngineModel.Run run) {
+        public void ended(VirtualEngine engine, VirtualEngine.Run run) {
             Usage usage = run.usage();
             atEntry(engine, run.request, () -> router.ended(run.request, engine.index, TargetOutcome.COMPLETED, usage));
         }
 
-        private void atEntry(EngineModel engine, BenchRequest request, Runnable what) {
+        private void atEntry(VirtualEngine engine, BenchRequest request, Runnable what) {
             clock.after(oneWayUs(request, engine), () -> {
                 if (!request.ended()) {
                     noteAnswer(request);
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/FleetRouter.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/FleetRouter.java
@@ -30,7 +30,7 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * The fleet's own policy: a real {@link InstanceKernel} per instance, joined by {@link PeerLinks}. The membership's part
+ * The fleet's own policy: a real {@link InstanceKernel} per instance, joined by {@link VirtualPeerLinks}. The membership's part
  * is played by fixed times: a dead or unreachable instance leaves the views after {@code DETECTED_US}, one that is back
  * joins them after {@code JOINED_US}.
  */
@@ -52,7 +52,7 @@
     private final List<List<Event>> deferred = new ArrayList<>();
     private final Map<Integer, Runnable> whenDrained = new HashMap<>();
     private final Map<Long, BenchRequest> requests = new HashMap<>();
-    private final PeerLinks links;
+    private final VirtualPeerLinks links;
     private final FleetSettings settings;
     private final boolean[][] seen;
 
@@ -67,7 +67,7 @@
         seen = new boolean[instances][instances];
         settings = settings(run);
         IntPredicate isDown = instance -> down[instance];
-        links = PeerLinks.create(run.shape(), run.clock(), isDown, new LinkListener());
+        links = VirtualPeerLinks.create(run.shape(), run.clock(), isDown, new LinkListener());
     }
 
     static FleetRouter create(BenchRun run) {
@@ -364,7 +364,7 @@
     }
 
     /** Carries what the links bring into the kernels. */
-    private final class LinkListener implements PeerLinks.Listener {
+    private final class LinkListener implements VirtualPeerLinks.Listener {
         @Override
         public void received(int instance, int from, PeerMessage message) {
             apply(instance, new Event.PeerReceived(instanceId(from), incarnations[from], message));
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/ServiceMeter.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/ServiceMeter.java
@@ -27,14 +27,14 @@
     private final List<ArrayDeque<BenchRequest>> waiting = new ArrayList<>();
 
     private final int[] running;
-    private final EngineModels engines;
+    private final VirtualEngines engines;
     private final List<Pool> pools = new ArrayList<>();
     private final Pair[][] pairs;
     private long startedUs;
     private double gapTokens;
     private int mostSlotsHeld;
 
-    private ServiceMeter(List<CustomerLoad> loads, EngineModels engines) {
+    private ServiceMeter(List<CustomerLoad> loads, VirtualEngines engines) {
         this.loads = loads;
         this.engines = engines;
         settledTokens = new double[loads.size()];
@@ -46,7 +46,7 @@
         pairs = new Pair[loads.size()][loads.size()];
     }
 
-    static ServiceMeter create(List<CustomerLoad> loads, EngineModels engines) {
+    static ServiceMeter create(List<CustomerLoad> loads, VirtualEngines engines) {
         return new ServiceMeter(loads, engines);
     }
 
@@ -86,8 +86,8 @@
     /** Compares every pair of backlogged customers, with what the running requests were given so far. */
     void sample(long nowUs) {
         double[] delivered = settledTokens.clone();
-        for (EngineModel engine : engines.all()) {
-            for (EngineModel.Run run : engine.runs()) {
+        for (VirtualEngine engine : engines.all()) {
+            for (VirtualEngine.Run run : engine.runs()) {
                 delivered[run.request.load] += run.deliveredTokens();
             }
         }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/EngineModel.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/VirtualEngine.java
@@ -15,7 +15,7 @@
  * with a step of a millisecond. Prompt prefixes are kept in a cache of limited size (least recently used goes first); a
  * prompt token that is not cached costs time before the first output token.
  */
-final class EngineModel {
+final class VirtualEngine {
     private static final long PREFILL_US_PER_TOKEN = 10;
     private static final int CACHED_PREFIXES = 32;
     private static final double PREFIX_SHARE = 0.5;
@@ -33,7 +33,7 @@
     private final ArrayDeque<Run> queue = new ArrayDeque<>();
     private final LinkedHashMap<Long, Boolean> prefixes = new LinkedHashMap<>(CACHED_PREFIXES, 0.75f, true);
 
-    private EngineModel(int index, int pool, int dataCentre, Size size, VirtualClock clock, Listener listener) {
+    private VirtualEngine(int index, int pool, int dataCentre, Size size, VirtualClock clock, Listener listener) {
         this.index = index;
         this.pool = pool;
         this.dataCentre = dataCentre;
@@ -43,8 +43,8 @@
         this.listener = listener;
     }
 
-    static EngineModel create(int index, int pool, int dataCentre, Size size, VirtualClock clock, Listener listener) {
-        return new EngineModel(index, pool, dataCentre, size, clock, listener);
+    static VirtualEngine create(int index, int pool, int dataCentre, Size size, VirtualClock clock, Listener listener) {
+        return new VirtualEngine(index, pool, dataCentre, size, clock, listener);
     }
 
     int slots() {
@@ -175,12 +175,12 @@
     interface Listener {
         void started(Run run);
 
-        void progressed(EngineModel engine, Run run, long outputTokens);
+        void progressed(VirtualEngine engine, Run run, long outputTokens);
 
         /** The run gave its slot back, whether it ended or was cancelled. */
         void stopped(Run run);
 
         /** The run delivered its whole output. */
-        void ended(EngineModel engine, Run run);
+        void ended(VirtualEngine engine, Run run);
     }
 }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/EngineModels.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/VirtualEngines.java
@@ -5,22 +5,22 @@
 import java.util.stream.IntStream;
 
 /** The targets of a shape, by index: the replicas, then the plain services, which form the pool after the models'. */
-final class EngineModels {
+final class VirtualEngines {
     private static final long SERVICE_STEP_US = 1_000;
 
-    private final List<EngineModel> engines = new ArrayList<>();
+    private final List<VirtualEngine> engines = new ArrayList<>();
     private final List<int[]> enginesByPool = new ArrayList<>();
 
-    private EngineModels(BenchShape shape, VirtualClock clock, EngineModel.Listener listener) {
+    private VirtualEngines(BenchShape shape, VirtualClock clock, VirtualEngine.Listener listener) {
         for (int replica = 0; replica < shape.replicas(); replica++) {
-            EngineModel.Size size = new EngineModel.Size(shape.replicaSlots(), shape.stepUs());
+            VirtualEngine.Size size = new VirtualEngine.Size(shape.replicaSlots(), shape.stepUs());
             int pool = replica % shape.pools();
-            engines.add(EngineModel.create(replica, pool, shape.dataCentreOf(replica), size, clock, listener));
+            engines.add(VirtualEngine.create(replica, pool, shape.dataCentreOf(replica), size, clock, listener));
         }
         for (int service = 0; service < shape.services(); service++) {
-            EngineModel.Size size = new EngineModel.Size(shape.serviceSlots(), SERVICE_STEP_US);
+            VirtualEngine.Size size = new VirtualEngine.Size(shape.serviceSlots(), SERVICE_STEP_US);
             int dataCentre = shape.dataCentreOf(service);
-            engines.add(EngineModel.create(engines.size(), shape.pools(), dataCentre, size, clock, listener));
+            engines.add(VirtualEngine.create(engines.size(), shape.pools(), dataCentre, size, clock, listener));
         }
         for (int pool = 0; pool <= shape.pools(); pool++) {
             int wanted = pool;
@@ -30,15 +30,15 @@
         }
     }
 
-    static EngineModels create(BenchShape shape, VirtualClock clock, EngineModel.Listener listener) {
-        return new EngineModels(shape, clock, listener);
+    static VirtualEngines create(BenchShape shape, VirtualClock clock, VirtualEngine.Listener listener) {
+        return new VirtualEngines(shape, clock, listener);
     }
 
-    List<EngineModel> all() {
+    List<VirtualEngine> all() {
         return engines;
     }
 
-    EngineModel get(int engine) {
+    VirtualEngine get(int engine) {
         return engines.get(engine);
     }
 
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/PeerLinks.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/VirtualPeerLinks.java
@@ -15,7 +15,7 @@
  * first message, which is dropped with all that come before it is up; an active link without a frame for {@code
  * HEARTBEAT_US} sends a heartbeat; a silent one is taken for lost after {@code SILENT_US}.
  */
-final class PeerLinks {
+final class VirtualPeerLinks {
     private static final long LINGER_US = 2_000;
     private static final long HEARTBEAT_US = VirtualClock.US_PER_S;
     private static final long ACTIVE_US = 5 * VirtualClock.US_PER_S;
@@ -30,7 +30,7 @@
     private final Map<Integer, Link> links = new TreeMap<>();
     private int firstOfOthers;
 
-    private PeerLinks(BenchShape shape, VirtualClock clock, IntPredicate down, Listener listener) {
+    private VirtualPeerLinks(BenchShape shape, VirtualClock clock, IntPredicate down, Listener listener) {
         this.shape = shape;
         this.clock = clock;
         this.down = down;
@@ -38,8 +38,8 @@
         bytes = ControlBytes.create(shape.instances());
     }
 
-    static PeerLinks create(BenchShape shape, VirtualClock clock, IntPredicate down, Listener listener) {
-        PeerLinks links = new PeerLinks(shape, clock, down, listener);
+    static VirtualPeerLinks create(BenchShape shape, VirtualClock clock, IntPredicate down, Listener listener) {
+        VirtualPeerLinks links = new VirtualPeerLinks(shape, clock, down, listener);
         clock.every(HEARTBEAT_US, HEARTBEAT_US, links::heartbeats);
         return links;
     }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/ChatAnswer.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/ChatResponse.java
@@ -5,21 +5,21 @@
 import java.nio.charset.StandardCharsets;
 import org.marjoramswitch.testkit.engine.Generation.State;
 import org.marjoramswitch.testkit.engine.Generation.TokenListener;
-import org.marjoramswitch.testkit.http.AnswerStream;
+import org.marjoramswitch.testkit.http.ResponseStream;
 
 /** Writes one generation's answer to one caller: as server-sent events, or whole at its end. */
-final class ChatAnswer implements TokenListener {
+final class ChatResponse implements TokenListener {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final byte[] DONE = "data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8);
 
-    private final AnswerStream stream;
+    private final ResponseStream stream;
     private final String answerId;
     private final int flushSteps;
     private final int breakAfterTokens;
     private int sentTokens;
     private boolean broken;
 
-    private ChatAnswer(AnswerStream stream, String answerId, int fromToken, int flushSteps, int breakAfterTokens) {
+    private ChatResponse(ResponseStream stream, String answerId, int fromToken, int flushSteps, int breakAfterTokens) {
         this.stream = stream;
         this.answerId = answerId;
         this.sentTokens = fromToken;
@@ -27,13 +27,13 @@
         this.breakAfterTokens = breakAfterTokens;
     }
 
-    static ChatAnswer whole(AnswerStream stream, String answerId, int fromToken, int flushSteps) {
-        return new ChatAnswer(stream, answerId, fromToken, flushSteps, Integer.MAX_VALUE);
+    static ChatResponse whole(ResponseStream stream, String answerId, int fromToken, int flushSteps) {
+        return new ChatResponse(stream, answerId, fromToken, flushSteps, Integer.MAX_VALUE);
     }
 
     /** Cuts the connection after so many tokens. */
-    static ChatAnswer breaking(AnswerStream stream, String answerId, int flushSteps, int breakAfterTokens) {
-        return new ChatAnswer(stream, answerId, 0, flushSteps, breakAfterTokens);
+    static ChatResponse breaking(ResponseStream stream, String answerId, int flushSteps, int breakAfterTokens) {
+        return new ChatResponse(stream, answerId, 0, flushSteps, breakAfterTokens);
     }
 
     @Override
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/EngineOptions.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/EngineOptions.java
@@ -49,7 +49,7 @@
     }
 
     /** Answer lengths are log-normal: their median, and sigma of the logarithm. */
-    public EngineOptions answerLengths(double median, double sigmaOfLog) {
+    public EngineOptions outputLengths(double median, double sigmaOfLog) {
         medianTokens = median;
         sigma = sigmaOfLog;
         return this;
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/ModelEngine.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/ModelEngine.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import org.jspecify.annotations.Nullable;
-import org.marjoramswitch.testkit.http.AnswerStream;
+import org.marjoramswitch.testkit.http.ResponseStream;
 import org.marjoramswitch.testkit.http.StandInServer;
 
 /**
@@ -48,7 +48,7 @@
     private final CacheEventLog cacheEvents;
     private final PrefixCache cache;
     private final Batch batch;
-    private final OrderBook orders;
+    private final ModelOrders orders;
     private final EngineLoop loop;
     private final StandInServer server;
     private final Map<String, Generation> generations = Collections.synchronizedMap(new RecentGenerations());
@@ -62,7 +62,7 @@
         this.cache =
                 new PrefixCache(options.cachedPrefixes, (hash, present) -> cacheEvents.add(hash, present, nowMs()));
         this.batch = new Batch(options, cache, counter);
-        this.orders = new OrderBook(options);
+        this.orders = new ModelOrders(options);
         this.loop = EngineLoop.of("engine-step", options.stepMs, this::step);
         this.server = StandInServer.start("engine", this::handle);
     }
@@ -94,7 +94,7 @@
     }
 
     /** Fencing number, kind and model of every order obeyed, in order, such as {@code 7 load atelier-llm}. */
-    public List<String> ordersObeyed() {
+    public List<String> appliedOrders() {
         List<String> obeyed = new ArrayList<>();
         orders.applied().forEach(order -> obeyed.add(order.fence() + " " + order.kind() + " " + order.model()));
         return obeyed;
@@ -213,10 +213,10 @@
         ChatRequest request = generation.request();
         String answerId = current == EngineFault.WRONG_REQUEST_ID ? "other-" + request.id() : request.id();
         setHead(exchange, answerId, request.streaming());
-        AnswerStream stream = AnswerStream.of(exchange);
-        ChatAnswer answer = current == EngineFault.BREAK_OFF
-                ? ChatAnswer.breaking(stream, answerId, options.flushSteps, options.breakAfterTokens)
-                : ChatAnswer.whole(stream, answerId, 0, options.flushSteps);
+        ResponseStream stream = ResponseStream.of(exchange);
+        ChatResponse answer = current == EngineFault.BREAK_OFF
+                ? ChatResponse.breaking(stream, answerId, options.flushSteps, options.breakAfterTokens)
+                : ChatResponse.whole(stream, answerId, 0, options.flushSteps);
         Runnable begin = () -> loop.execute(() -> generation.listen(answer));
         if (current == EngineFault.LATE) {
             exchange.getIoThread().executeAfter(begin, options.lateMs, TimeUnit.MILLISECONDS);
@@ -239,7 +239,7 @@
         setHead(exchange, id, generation.request().streaming());
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
             cancelOnClose(exchange, generation);
-            ChatAnswer answer = ChatAnswer.whole(AnswerStream.of(exchange), id, fromToken, options.flushSteps);
+            ChatResponse answer = ChatResponse.whole(ResponseStream.of(exchange), id, fromToken, options.flushSteps);
             loop.execute(() -> generation.listen(answer));
         });
     }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/OrderBook.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/ModelOrders.java
@@ -13,7 +13,7 @@
  * {@code {"fence":7,"kind":"load","model":"m","version":"v","adapter":"a"}}, kinds {@code load}, {@code unload} and
  * {@code role} (with {@code "role"}).
  */
-final class OrderBook {
+final class ModelOrders {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final boolean checksFencing;
@@ -25,7 +25,7 @@
     private long highestFence;
     private String role = "both";
 
-    OrderBook(EngineOptions options) {
+    ModelOrders(EngineOptions options) {
         this.checksFencing = options.checksFencing;
         this.servesAny = options.models.isEmpty();
         this.loadMs = options.loadMs;
--- a/testkit/src/main/java/org/marjoramswitch/testkit/http/CloseWatch.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/http/DisconnectDetector.java
@@ -13,12 +13,12 @@
  * anything to write would go on for a caller who is gone. Ends by itself: Undertow sets its own read listener for the
  * next request.
  */
-final class CloseWatch {
+final class DisconnectDetector {
     private final AbstractServerConnection connection;
     private final StreamSourceConduit source;
     private final ByteBuffer probe = ByteBuffer.allocate(1);
 
-    private CloseWatch(AbstractServerConnection connection) {
+    private DisconnectDetector(AbstractServerConnection connection) {
         this.connection = connection;
         this.source = connection.getOriginalSourceConduit();
     }
@@ -28,7 +28,7 @@
         // Later, since Undertow suspends reads when the call that brought the request returns.
         exchange.getIoThread().execute(() -> {
             if (!exchange.isComplete() && exchange.getConnection() instanceof AbstractServerConnection connection) {
-                new CloseWatch(connection).resume();
+                new DisconnectDetector(connection).resume();
             }
         });
     }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/http/AnswerStream.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/http/ResponseStream.java
@@ -13,7 +13,7 @@
  * An answer written piece by piece from any thread; the exchange's IO thread does the writing. What the caller does not
  * read yet waits in memory: the answers of a stand-in are short.
  */
-public final class AnswerStream {
+public final class ResponseStream {
     private final HttpServerExchange exchange;
     private final TrackedConnection connection;
     private final ConcurrentLinkedQueue<byte[]> pending = new ConcurrentLinkedQueue<>();
@@ -24,14 +24,14 @@
     private ByteBuffer writing = ByteBuffer.allocate(0);
     private boolean finished;
 
-    private AnswerStream(HttpServerExchange exchange) {
+    private ResponseStream(HttpServerExchange exchange) {
         this.exchange = exchange;
         this.connection = StandInServer.connectionOf(exchange);
     }
 
     /** For an exchange that was dispatched and whose head is set. */
-    public static AnswerStream of(HttpServerExchange exchange) {
-        return new AnswerStream(exchange);
+    public static ResponseStream of(HttpServerExchange exchange) {
+        return new ResponseStream(exchange);
     }
 
     public TrackedConnection connection() {
--- a/testkit/src/main/java/org/marjoramswitch/testkit/http/StandInServer.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/http/StandInServer.java
@@ -169,7 +169,7 @@
         /** What to do if the connection closes during the exchange, whose request was read whole. */
         public void onClose(HttpServerExchange exchange, Runnable action) {
             onClose = action;
-            CloseWatch.begin(exchange);
+            DisconnectDetector.begin(exchange);
         }
 
         /** The connection's close means nothing any more. */
--- a/testkit/src/main/java/org/marjoramswitch/testkit/service/PlainService.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/service/PlainService.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
-import org.marjoramswitch.testkit.http.AnswerStream;
+import org.marjoramswitch.testkit.http.ResponseStream;
 import org.marjoramswitch.testkit.http.StandInServer;
 
 /**
@@ -97,7 +97,7 @@
 
     private static void answer(HttpServerExchange exchange, String text) {
         exchange.getResponseHeaders().put(REQUEST_ID, header(exchange, REQUEST_ID, NO_KEY));
-        AnswerStream stream = AnswerStream.of(exchange);
+        ResponseStream stream = ResponseStream.of(exchange);
         stream.append(text.getBytes(StandardCharsets.UTF_8));
         stream.end();
     }
