--- a/testkit/src/main/java/org/marjoramswitch/testkit/platform/CallKind.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/platform/CallKind.java
@@ -1,6 +1,6 @@
 package org.marjoramswitch.testkit.platform;
 
-/** The kinds of call that the platform counts. */
+/** Kinds of gateway calls, each counted separately. */
 public enum CallKind {
     RANGE("/v3/kv/range", false),
     PUT("/v3/kv/put", true),
--- a/testkit/src/main/java/org/marjoramswitch/testkit/platform/Change.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/platform/Change.java
@@ -1,6 +1,6 @@
 package org.marjoramswitch.testkit.platform;
 
-/** One change of the table at one revision; a deletion carries the key and the revision only. */
+/** One change to the table at one revision. A deletion carries only the key and the revision. */
 record Change(boolean deleted, StoredEntry entry) {
     long revision() {
         return entry.modRevision();
--- a/testkit/src/main/java/org/marjoramswitch/testkit/platform/GatewayFaults.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/platform/GatewayFaults.java
@@ -2,18 +2,18 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The faults that are switched on now; a test sets them from any thread. */
+/** Faults currently injected into the gateway. Tests may set them from any thread. */
 final class GatewayFaults {
     private static final long WINDOW_MS = 1_000;
 
-    /** What a call meets before it is carried out. */
+    /** Fault that prevents every call from being executed. */
     enum Outage {
         NONE,
         UNAVAILABLE,
         HANG
     }
 
-    private final AtomicInteger answersToLose = new AtomicInteger();
+    private final AtomicInteger responsesToDrop = new AtomicInteger();
     private final AtomicInteger callsToLimit = new AtomicInteger();
     private volatile Outage outage = Outage.NONE;
     private volatile long delayMs;
@@ -25,24 +25,24 @@
         return outage;
     }
 
-    void outage(Outage now) {
-        outage = now;
+    void outage(Outage value) {
+        outage = value;
     }
 
     long delayMs() {
         return delayMs;
     }
 
-    void delayMs(long now) {
-        delayMs = now;
+    void delayMs(long value) {
+        delayMs = value;
     }
 
     void dropResponses(int writes) {
-        answersToLose.set(writes);
+        responsesToDrop.set(writes);
     }
 
-    boolean losesThisAnswer() {
-        return answersToLose.getAndUpdate(left -> Math.max(0, left - 1)) > 0;
+    boolean dropsThisResponse() {
+        return responsesToDrop.getAndUpdate(left -> Math.max(0, left - 1)) > 0;
     }
 
     void limitNext(int calls) {
@@ -67,7 +67,7 @@
     void clear() {
         outage = Outage.NONE;
         delayMs = 0;
-        answersToLose.set(0);
+        responsesToDrop.set(0);
         callsToLimit.set(0);
         callsPerSecond = Integer.MAX_VALUE;
     }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/platform/GatewayOperations.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/platform/GatewayOperations.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 
-/** Carries out the gateway's JSON requests on the table and shapes the answers as etcd's gateway does. */
+/** Executes the gateway's JSON requests on the table and builds responses in the format of etcd's gateway. */
 final class GatewayOperations {
     private static final int MAX_TXN_OPERATIONS = 128;
 
@@ -45,9 +45,9 @@
     }
 
     GatewayReply txn(JsonNode request) {
-        GatewayReply refusal = checkTxn(request, new HashSet<>());
-        if (refusal != null) {
-            return refusal;
+        GatewayReply error = checkTxn(request, new HashSet<>());
+        if (error != null) {
+            return error;
         }
         ObjectNode body = txnBody(request);
         table.commit();
@@ -124,9 +124,9 @@
         }
         for (String branch : new String[] {"success", "failure"}) {
             for (JsonNode operation : txn.path(branch)) {
-                GatewayReply refusal = checkOperation(operation, putKeys);
-                if (refusal != null) {
-                    return refusal;
+                GatewayReply error = checkOperation(operation, putKeys);
+                if (error != null) {
+                    return error;
                 }
             }
         }
@@ -151,7 +151,7 @@
     private ObjectNode txnBody(JsonNode txn) {
         boolean succeeded = true;
         for (JsonNode compare : txn.path("compare")) {
-            succeeded &= holds(compare);
+            succeeded &= isSatisfied(compare);
         }
         ObjectNode body = object();
         if (succeeded) {
@@ -159,12 +159,12 @@
         }
         ArrayNode responses = body.putArray("responses");
         for (JsonNode operation : txn.path(succeeded ? "success" : "failure")) {
-            responses.add(carryOut(operation));
+            responses.add(execute(operation));
         }
         return body;
     }
 
-    private ObjectNode carryOut(JsonNode operation) {
+    private ObjectNode execute(JsonNode operation) {
         ObjectNode response = object();
         if (operation.has("request_put")) {
             response.set("response_put", putBody(operation.path("request_put")));
@@ -178,7 +178,7 @@
         return response;
     }
 
-    private boolean holds(JsonNode compare) {
+    private boolean isSatisfied(JsonNode compare) {
         StoredEntry entry = table.get(decode(compare.path("key")));
         int order =
                 switch (compare.path("target").asText("VERSION")) {
--- a/testkit/src/main/java/org/marjoramswitch/testkit/platform/GatewayReply.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/platform/GatewayReply.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** An HTTP status and a JSON body, as the gateway answers one call. */
+/** HTTP status and JSON body of the gateway's response to one call. */
 record GatewayReply(int status, ObjectNode body) {
     private static final int INVALID_ARGUMENT = 3;
     private static final int NOT_FOUND = 5;
--- a/testkit/src/main/java/org/marjoramswitch/testkit/platform/KeyValueGateway.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/platform/KeyValueGateway.java
@@ -28,18 +28,18 @@
 import org.xnio.IoUtils;
 
 /**
- * A small in-memory stand-in of the platform's key-value service: the JSON gateway that etcd v3 publishes, with
- * revisions, versions, leases, transactions and watches, on a free port of 127.0.0.1.
+ * In-memory stand-in for the platform's key-value store, listening on a free port of 127.0.0.1. Implements the JSON
+ * gateway of etcd v3 with revisions, versions, leases, transactions and watches.
  *
- * <p>Faults are switched at run time, each by one method, and {@link #recover()} ends them all. Every call is counted by
- * kind when it arrives, whatever then becomes of it; a waiting watch is one call.
+ * <p>Each fault is enabled at run time by one method; {@link #recover()} disables them all. Every call is counted by
+ * kind on arrival, whatever its outcome; an open watch counts as one call.
  */
 public final class KeyValueGateway implements AutoCloseable {
     private static final String HOST = "127.0.0.1";
     private static final int IO_THREADS = 2;
     private static final int WORKER_THREADS = 2;
     private static final long LEASE_CHECK_MS = 50;
-    private static final AttachmentKey<Boolean> SEEN = AttachmentKey.create(Boolean.class);
+    private static final AttachmentKey<Boolean> COUNTED = AttachmentKey.create(Boolean.class);
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final AtomicLong connections = new AtomicLong();
@@ -69,7 +69,7 @@
         return start(System::currentTimeMillis);
     }
 
-    /** Starts the stand-in with a clock of the test's own, by which leases lapse. */
+    /** Starts the stand-in with the given clock, which determines when leases expire. */
     public static KeyValueGateway start(LongSupplier nowMs) {
         KeyValueGateway gateway = new KeyValueGateway(nowMs);
         gateway.watchThreads.execute(gateway::runLeaseExpiry);
@@ -86,7 +86,7 @@
 
     // Faults.
 
-    /** Cuts every connection and refuses new ones. */
+    /** Closes every connection and refuses new ones. */
     public synchronized void refuseConnections() {
         if (!accepting) {
             return;
@@ -95,68 +95,68 @@
         server.stop();
     }
 
-    /** Answers every call with status 503 and does nothing. */
+    /** Responds to every call with status 503 without executing it. */
     public void respondUnavailable() {
         faults.outage(GatewayFaults.Outage.UNAVAILABLE);
     }
 
-    /** Takes every call in, does nothing and never answers. */
+    /** Accepts every call, but neither executes it nor responds. */
     public void hang() {
         faults.outage(GatewayFaults.Outage.HANG);
     }
 
-    /** Carries out and answers every call this much later. */
+    /** Delays the execution of every call, and thus its response, by this time. */
     public void delayMs(long delayMs) {
         faults.delayMs(delayMs);
     }
 
-    /** Carries out the next {@code writes} writes and cuts their connections in place of an answer. */
+    /** Executes the next {@code writes} writes and closes their connections instead of responding. */
     public void dropResponses(int writes) {
         faults.dropResponses(writes);
     }
 
-    /** Answers the next {@code count} calls with status 429. */
+    /** Responds to the next {@code count} calls with status 429. */
     public void limitNextCalls(int count) {
         faults.limitNext(count);
     }
 
-    /** Answers calls beyond this many a second with status 429. */
+    /** Responds with status 429 to calls beyond this number per second. */
     public void limitCallsPerSecond(int limit) {
         faults.callsPerSecond(limit);
     }
 
-    /** Cuts the connections of all waiting watches. */
+    /** Closes the connections of all open watches. */
     public void breakWatches() {
         watches.forEach(WatchStream::cut);
     }
 
-    /** All watches waiting now stay open and bring nothing more; new ones work. */
+    /** Keeps all currently open watches open without sending further events; new watches work. */
     public void stallWatches() {
-        watches.forEach(WatchStream::stick);
+        watches.forEach(WatchStream::stall);
     }
 
-    /** Forgets all history, so that a watch from an older revision is cancelled. */
+    /** Discards the history, so that a watch from an older revision is cancelled. */
     public void compact() {
         synchronized (table) {
             table.compact(table.revision());
         }
     }
 
-    /** Ends all leases at once, with the entries that hang on them. */
+    /** Expires all leases immediately and deletes the entries attached to them. */
     public void expireAllLeases() {
         synchronized (table) {
             table.leaseIds().forEach(table::revoke);
         }
     }
 
-    /** The service is restored from an empty backup: no entry, no lease, no history, revisions from the start again. */
+    /** Simulates a restore from an empty backup: no entries, leases or history, and revisions restart. */
     public void restoreEmpty() {
         synchronized (table) {
             table.reset();
         }
     }
 
-    /** Ends every fault. */
+    /** Disables every fault. */
     public synchronized void recover() {
         faults.clear();
         if (!accepting) {
@@ -165,24 +165,24 @@
         }
     }
 
-    // What the platform's owner does and sees.
+    // State and operations available to tests.
 
-    /** Calls of one kind that have arrived so far. */
+    /** Returns the number of calls of one kind received so far. */
     public long calls(CallKind kind) {
         return countOf(kind).get();
     }
 
-    /** Calls of every kind that have arrived so far. */
+    /** Returns the number of calls of all kinds received so far. */
     public long calls() {
         return calls.values().stream().mapToLong(AtomicLong::get).sum();
     }
 
-    /** Connections on which a call has arrived so far. */
+    /** Returns the number of connections on which a call has been received so far. */
     public long connections() {
         return connections.get();
     }
 
-    /** Watches that wait now. */
+    /** Returns the number of open watches. */
     public int waitingWatches() {
         return watches.size();
     }
@@ -214,7 +214,7 @@
         }
     }
 
-    /** Lists an instance; {@code state} is live or leaving. */
+    /** Writes the list entry of an instance; {@code state} is live or leaving. */
     public void putInstance(String id, String callers, String peers, String dataCentre, String state) {
         ObjectNode body = JsonNodeFactory.instance
                 .objectNode()
@@ -229,7 +229,7 @@
         delete("list/instances/" + id);
     }
 
-    /** Lists a target; {@code state} is live or leaving. */
+    /** Writes the list entry of a target; {@code state} is live or leaving. */
     public void putTarget(String id, String state) {
         put(
                 "list/targets/" + id,
@@ -262,7 +262,7 @@
     }
 
     private void receive(CallKind kind, HttpServerExchange exchange) {
-        if (exchange.getConnection().putAttachment(SEEN, true) == null) {
+        if (exchange.getConnection().putAttachment(COUNTED, true) == null) {
             connections.incrementAndGet();
         }
         countOf(kind).incrementAndGet();
@@ -275,28 +275,28 @@
             return;
         }
         if (faults.outage() == GatewayFaults.Outage.UNAVAILABLE) {
-            answer(exchange, GatewayReply.unavailable());
+            respond(exchange, GatewayReply.unavailable());
             return;
         }
         if (faults.limitsThisCall(nowMs.getAsLong())) {
-            answer(exchange, GatewayReply.tooManyRequests());
+            respond(exchange, GatewayReply.tooManyRequests());
             return;
         }
         long delayMs = faults.delayMs();
         if (delayMs <= 0) {
-            carryOut(kind, exchange, body);
+            execute(kind, exchange, body);
             return;
         }
         exchange.dispatch(() -> exchange.getIoThread()
-                .executeAfter(() -> carryOut(kind, exchange, body), delayMs, TimeUnit.MILLISECONDS));
+                .executeAfter(() -> execute(kind, exchange, body), delayMs, TimeUnit.MILLISECONDS));
     }
 
-    private void carryOut(CallKind kind, HttpServerExchange exchange, byte[] body) {
+    private void execute(CallKind kind, HttpServerExchange exchange, byte[] body) {
         JsonNode request;
         try {
             request = JSON.readTree(body);
         } catch (IOException e) {
-            answer(exchange, GatewayReply.invalid("not JSON"));
+            respond(exchange, GatewayReply.invalid("not JSON"));
             return;
         }
         if (kind == CallKind.WATCH) {
@@ -304,11 +304,11 @@
             return;
         }
         GatewayReply reply = apply(kind, request);
-        if (kind.isWrite() && faults.losesThisAnswer()) {
+        if (kind.isWrite() && faults.dropsThisResponse()) {
             IoUtils.safeClose(exchange.getConnection());
             return;
         }
-        answer(exchange, reply);
+        respond(exchange, reply);
     }
 
     private GatewayReply apply(CallKind kind, JsonNode request) {
@@ -339,7 +339,7 @@
         exchange.dispatch(watchThreads, stream::run);
     }
 
-    private static void answer(HttpServerExchange exchange, GatewayReply reply) {
+    private static void respond(HttpServerExchange exchange, GatewayReply reply) {
         exchange.setStatusCode(reply.status());
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
         exchange.getResponseSender().send(reply.body().toString());
--- a/testkit/src/main/java/org/marjoramswitch/testkit/platform/KeyValueTable.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/platform/KeyValueTable.java
@@ -11,8 +11,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The entries, revisions, leases and change history of the stand-in. Every caller holds the table's monitor, so that a
- * transaction is one step.
+ * Entries, revisions, leases and change history of the stand-in store.
+ *
+ * <p>Thread-safety: callers must hold the monitor of the table, which makes each transaction atomic.
  */
 final class KeyValueTable {
     private static final int HISTORY_CHANGES = 20_000;
@@ -22,7 +23,7 @@
     private final List<Change> history = new ArrayList<>();
     private final Map<Long, Lease> leases = new HashMap<>();
     private final List<Consumer<List<Change>>> listeners = new CopyOnWriteArrayList<>();
-    private final List<Change> open = new ArrayList<>();
+    private final List<Change> uncommitted = new ArrayList<>();
     private long revision = 1;
     private long compactedRevision;
     private long lastLeaseId = 7_000;
@@ -35,11 +36,11 @@
         return compactedRevision;
     }
 
-    void listen(Consumer<List<Change>> listener) {
+    void addListener(Consumer<List<Change>> listener) {
         listeners.add(listener);
     }
 
-    void unlisten(Consumer<List<Change>> listener) {
+    void removeListener(Consumer<List<Change>> listener) {
         listeners.remove(listener);
     }
 
@@ -48,7 +49,10 @@
         return entries.get(key);
     }
 
-    /** The entries from {@code key} to before {@code rangeEnd}; an empty end names the one key. */
+    /**
+     * Returns the entries from {@code key} (inclusive) to {@code rangeEnd} (exclusive); an empty end selects the one
+     * key.
+     */
     List<StoredEntry> range(String key, String rangeEnd) {
         if (rangeEnd.isEmpty()) {
             StoredEntry entry = entries.get(key);
@@ -71,7 +75,7 @@
         return leases.containsKey(leaseId);
     }
 
-    /** Adds a write to the open transaction; {@link #commit()} makes all of them one revision. */
+    /** Adds a write to the open transaction; {@link #commit()} gives all its writes the same revision. */
     void put(String key, String value, long leaseId) {
         StoredEntry before = entries.get(key);
         long next = revision + 1;
@@ -79,25 +83,25 @@
                 ? new StoredEntry(key, value, next, next, 1, leaseId)
                 : new StoredEntry(key, value, before.createRevision(), next, before.version() + 1, leaseId);
         entries.put(key, after);
-        open.add(Change.put(after));
+        uncommitted.add(Change.put(after));
     }
 
     int delete(String key, String rangeEnd) {
-        List<StoredEntry> doomed = range(key, rangeEnd);
-        for (StoredEntry entry : doomed) {
+        List<StoredEntry> removed = range(key, rangeEnd);
+        for (StoredEntry entry : removed) {
             entries.remove(entry.key());
-            open.add(Change.delete(entry.key(), revision + 1));
+            uncommitted.add(Change.delete(entry.key(), revision + 1));
         }
-        return doomed.size();
+        return removed.size();
     }
 
     void commit() {
-        if (open.isEmpty()) {
+        if (uncommitted.isEmpty()) {
             return;
         }
         revision++;
-        List<Change> changes = List.copyOf(open);
-        open.clear();
+        List<Change> changes = List.copyOf(uncommitted);
+        uncommitted.clear();
         history.addAll(changes);
         if (history.size() > HISTORY_CHANGES) {
             compact(history.get(history.size() / 2).revision());
@@ -105,13 +109,13 @@
         listeners.forEach(listener -> listener.accept(changes));
     }
 
-    /** Forgets the changes up to and including {@code throughRevision}. */
+    /** Removes the changes up to and including {@code throughRevision} from the history. */
     void compact(long throughRevision) {
         compactedRevision = Math.max(compactedRevision, throughRevision);
         history.removeIf(change -> change.revision() <= compactedRevision);
     }
 
-    /** Forgets everything and begins at the first revision again. */
+    /** Removes all entries, leases and history, and restarts at the first revision. */
     void reset() {
         entries.clear();
         history.clear();
@@ -132,7 +136,7 @@
         return id;
     }
 
-    /** The renewed lease's time to live in seconds, 0 where there is no such lease. */
+    /** Returns the time to live of the renewed lease in seconds, or 0 if the lease does not exist. */
     long renew(long leaseId, long nowMs) {
         Lease lease = leases.get(leaseId);
         if (lease == null) {
@@ -146,20 +150,20 @@
         if (leases.remove(leaseId) == null) {
             return false;
         }
-        List<StoredEntry> doomed = entries.values().stream()
+        List<StoredEntry> removed = entries.values().stream()
                 .filter(entry -> entry.leaseId() == leaseId)
                 .toList();
-        doomed.forEach(entry -> delete(entry.key(), ""));
+        removed.forEach(entry -> delete(entry.key(), ""));
         commit();
         return true;
     }
 
     void expireLeases(long nowMs) {
-        List<Long> lapsed = leases.entrySet().stream()
+        List<Long> expired = leases.entrySet().stream()
                 .filter(entry -> entry.getValue().expiresAtMs() <= nowMs)
                 .map(Map.Entry::getKey)
                 .toList();
-        lapsed.forEach(this::revoke);
+        expired.forEach(this::revoke);
     }
 
     List<Long> leaseIds() {
--- a/testkit/src/main/java/org/marjoramswitch/testkit/platform/WatchStream.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/platform/WatchStream.java
@@ -19,18 +19,18 @@
 import org.jboss.logging.Logger;
 import org.xnio.IoUtils;
 
-/** One waiting watch: a response body that never ends, one JSON object a line. A thread of its own writes it. */
+/** An open watch: an unbounded response body with one JSON object per line, written by a dedicated thread. */
 final class WatchStream {
     private static final Logger LOG = Logger.getLogger(WatchStream.class);
-    private static final long CALLER_CHECK_MS = 20;
+    private static final long DISCONNECT_POLL_MS = 20;
     private final HttpServerExchange exchange;
     private final KeyValueTable table;
     private final GatewayOperations operations;
     private final String key;
     private final String rangeEnd;
     private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
-    private final Consumer<List<Change>> listener = this::offer;
-    private volatile boolean stuck;
+    private final Consumer<List<Change>> listener = this::enqueue;
+    private volatile boolean stalled;
 
     private WatchStream(
             HttpServerExchange exchange, KeyValueTable table, GatewayOperations operations, JsonNode create) {
@@ -41,7 +41,9 @@
         this.rangeEnd = GatewayOperations.decode(create.path("range_end"));
     }
 
-    /** Registers the watch and queues what it has missed since its start revision. The caller holds the table. */
+    /**
+     * Registers the watch and queues the changes since its start revision. The caller must hold the table's monitor.
+     */
     static WatchStream open(
             HttpServerExchange exchange, KeyValueTable table, GatewayOperations operations, JsonNode create) {
         WatchStream stream = new WatchStream(exchange, table, operations, create);
@@ -53,15 +55,15 @@
             return stream;
         }
         if (startRevision > 0) {
-            stream.offer(table.changesFrom(startRevision));
+            stream.enqueue(table.changesFrom(startRevision));
         }
-        table.listen(stream.listener);
+        table.addListener(stream.listener);
         return stream;
     }
 
-    /** From now on this watch looks alive and brings nothing, as after a path between the two ends was forgotten. */
-    void stick() {
-        stuck = true;
+    /** Keeps the watch open but sends no further events, as when a network path drops packets silently. */
+    void stall() {
+        stalled = true;
     }
 
     void cut() {
@@ -73,8 +75,8 @@
         try {
             exchange.startBlocking();
             OutputStream out = exchange.getOutputStream();
-            while (!callerGone()) {
-                String line = lines.poll(CALLER_CHECK_MS, TimeUnit.MILLISECONDS);
+            while (!isCallerDisconnected()) {
+                String line = lines.poll(DISCONNECT_POLL_MS, TimeUnit.MILLISECONDS);
                 if (line != null) {
                     out.write(line.getBytes(UTF_8));
                     out.flush();
@@ -85,25 +87,25 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            table.unlisten(listener);
+            table.removeListener(listener);
             IoUtils.safeClose(exchange.getConnection());
         }
     }
 
-    /** Undertow reads nothing while an answer is under way, so the end of the caller's stream is looked for here. */
-    private boolean callerGone() throws IOException {
+    /** Polls for the end of the caller's stream, since Undertow does not read while a response is being written. */
+    private boolean isCallerDisconnected() throws IOException {
         AbstractServerConnection connection = (AbstractServerConnection) exchange.getConnection();
         return !connection.isOpen() || connection.getOriginalSourceConduit().read(ByteBuffer.allocate(1)) < 0;
     }
 
-    private void offer(List<Change> changes) {
+    private void enqueue(List<Change> changes) {
         ArrayNode events = JsonNodeFactory.instance.arrayNode();
         for (Change change : changes) {
             if (KeyValueTable.inRange(change.entry().key(), key, rangeEnd)) {
                 events.add(event(change));
             }
         }
-        if (events.isEmpty() || stuck) {
+        if (events.isEmpty() || stalled) {
             return;
         }
         ObjectNode result = object();
--- a/testkit/src/main/java/org/marjoramswitch/testkit/platform/package-info.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/platform/package-info.java
@@ -1,4 +1,4 @@
-/** A stand-in of the platform's key-value service, with faults that a test switches at run time. */
+/** In-memory stand-in for the platform's key-value store, with faults that tests inject at run time. */
 @NullMarked
 package org.marjoramswitch.testkit.platform;
 
