--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/Batch.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/Batch.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * The requests of an engine: those in the batch, and behind them the rest in order of arrival. The engine takes whatever
- * comes and knows no priorities. Only the step thread uses it.
+ * Requests of an engine: those running in the batch, and a FIFO queue of the others. The queue is unbounded and has no
+ * priorities. Used only by the step thread.
  */
 final class Batch {
     private final EngineOptions options;
@@ -49,9 +49,9 @@
         new ArrayList<>(running).forEach(this::cancel);
     }
 
-    /** One step, after {@code ms} since the last. */
+    /** Runs one step, {@code ms} after the previous one. */
     void step(double ms) {
-        counter.passed(running.size(), options.maxBatch - running.size(), ms);
+        counter.addSlotTime(running.size(), options.maxBatch - running.size(), ms);
         running.forEach(this::advance);
         running.removeIf(Generation::isOver);
         admit();
@@ -61,7 +61,7 @@
         if (!generation.step()) {
             return;
         }
-        counter.token(generation.request());
+        counter.tokenGenerated(generation.request());
         if (generation.isOver()) {
             counter.completed(generation.request());
         }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/CacheEventLog.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/CacheEventLog.java
@@ -5,9 +5,9 @@
 import java.util.Deque;
 import java.util.List;
 
-/** The engine's cache events, which callers see late and, where the options say so, with some missing. */
+/** Log of the engine's cache events. Events become visible after a delay; optionally, every nth one is lost. */
 final class CacheEventLog {
-    private static final int MOST_KEPT = 4_096;
+    private static final int MAX_EVENTS = 4_096;
 
     private final long delayMs;
     private final int lostEvery;
@@ -25,12 +25,12 @@
             return;
         }
         events.add(new CacheEvent(lastSequence, prefixHash, present, nowMs + delayMs));
-        if (events.size() > MOST_KEPT) {
+        if (events.size() > MAX_EVENTS) {
             events.remove();
         }
     }
 
-    /** Events after the sequence number that are old enough to show. */
+    /** Returns the events after the sequence number whose delay has elapsed. */
     synchronized List<CacheEvent> after(long sequence, long nowMs) {
         List<CacheEvent> visible = new ArrayList<>();
         for (CacheEvent event : events) {
@@ -41,7 +41,7 @@
         return visible;
     }
 
-    /** Of all events, shown or not. */
+    /** Returns the last sequence number assigned, including events that are not visible or were lost. */
     synchronized long lastSequence() {
         return lastSequence;
     }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/ChatRequest.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/ChatRequest.java
@@ -11,13 +11,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A chat request as the engine understands it.
+ * A parsed chat request.
  *
- * @param id names it towards cancel, resume and state
- * @param idInPrompt the caller's own name for the request, {@code request-id=} in its prompt; null for none
- * @param prefixHash what its prefix is called in cache events
- * @param textSeed what the words of the answer follow from
- * @param outputTokens how long the answer will be; no caller can know it
+ * @param id identifies the request in cancel, resume and state calls
+ * @param idInPrompt the caller's own request id, given as {@code request-id=} in the prompt; null if absent
+ * @param prefixHash hash of the prompt prefix, used in cache events
+ * @param textSeed seed of the generated text
+ * @param outputTokens length of the output, which callers cannot know in advance
  */
 record ChatRequest(
         String id,
@@ -39,20 +39,26 @@
     private static final long WORDS = 36 * 36 * 36;
     private static final int CHARS_PER_TOKEN = 4;
     private static final int DEFAULT_MAX_TOKENS = 4_096;
-    /** Lets a test fix the answer's length. */
+    /** Request field with which a test sets the exact output length. */
     private static final String EXACT_LENGTH_FIELD = "x_output_tokens";
 
-    /** What its executions are counted by: a router may name each attempt anew, its caller's prompt stays the same. */
-    String countedId() {
+    /**
+     * Returns the id by which executions are counted. A router may assign a new id to each attempt, while the id in the
+     * caller's prompt stays the same.
+     */
+    String executionId() {
         return idInPrompt == null ? id : idInPrompt;
     }
 
-    /** The answer's text between two of its tokens. */
+    /** Returns the output text from {@code fromToken} (inclusive) to {@code toToken} (exclusive). */
     String text(int fromToken, int toToken) {
         return IntStream.range(fromToken, toToken).mapToObj(this::token).collect(Collectors.joining());
     }
 
-    /** One token of the answer: the id in the prompt first, then words that follow from it, so that crossing shows. */
+    /**
+     * Returns one output token. The first token is the id in the prompt, if any, and the others are derived from the
+     * prompt, so that a response delivered to the wrong request can be detected.
+     */
     String token(int index) {
         if (index == 0 && idInPrompt != null) {
             return " " + idInPrompt;
@@ -61,11 +67,11 @@
         return " " + Integer.toString((int) Math.floorMod(mixed >>> 20, WORDS), 36);
     }
 
-    /** Throws an IOException where the body is no chat request. */
+    /** Throws an IOException if the body is not a chat request. */
     static ChatRequest parse(String id, String customer, byte[] body, EngineOptions options) throws IOException {
         JsonNode json = JSON.readTree(body);
         if (!json.path("messages").isArray()) {
-            throw new IOException("no messages");
+            throw new IOException("request has no messages array");
         }
         StringBuilder prompt = new StringBuilder();
         collectStrings(json.path("messages"), prompt);
@@ -85,7 +91,7 @@
                 outputTokens(json, textSeed, options));
     }
 
-    /** Every string of the messages in their order, which is what an engine's tokens would follow from. */
+    /** Appends all strings of the messages in document order. */
     private static void collectStrings(JsonNode node, StringBuilder into) {
         if (node.isTextual()) {
             into.append(node.textValue());
@@ -99,14 +105,14 @@
     }
 
     private static int outputTokens(JsonNode json, long textSeed, EngineOptions options) {
-        int most =
+        int maxTokens =
                 json.path("max_completion_tokens").asInt(json.path("max_tokens").asInt(DEFAULT_MAX_TOKENS));
-        int exact = json.path(EXACT_LENGTH_FIELD).asInt(0);
-        int wanted = exact > 0 ? exact : logNormal(textSeed, options);
-        return Math.max(1, Math.min(most, wanted));
+        int exactTokens = json.path(EXACT_LENGTH_FIELD).asInt(0);
+        int wantedTokens = exactTokens > 0 ? exactTokens : logNormal(textSeed, options);
+        return Math.max(1, Math.min(maxTokens, wantedTokens));
     }
 
-    /** Box and Muller's transform of two uniform numbers that follow from the seed. */
+    /** Samples the output length with a Box-Muller transform of two uniform numbers drawn from the seed. */
     private static int logNormal(long seed, EngineOptions options) {
         SplittableRandom random = new SplittableRandom(seed);
         double radius = Math.sqrt(-2 * Math.log(1 - random.nextDouble()));
@@ -118,7 +124,7 @@
         return (text.length() + CHARS_PER_TOKEN - 1) / CHARS_PER_TOKEN;
     }
 
-    /** FNV-1a over UTF-16 units, as the router hashes prefixes, so that the two speak of the same. */
+    /** FNV-1a over UTF-16 code units. The router hashes prefixes in the same way, so that the hashes match. */
     private static long hash(String text) {
         long hash = FNV_OFFSET;
         for (int i = 0; i < text.length(); i++) {
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/ChatResponse.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/ChatResponse.java
@@ -7,72 +7,73 @@
 import org.marjoramswitch.testkit.engine.Generation.TokenListener;
 import org.marjoramswitch.testkit.http.ResponseStream;
 
-/** Writes one generation's answer to one caller: as server-sent events, or whole at its end. */
+/** Writes the response of a generation to one caller, either as server-sent events or as one JSON body at the end. */
 final class ChatResponse implements TokenListener {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final byte[] DONE = "data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8);
 
     private final ResponseStream stream;
-    private final String answerId;
+    private final String responseId;
     private final int flushSteps;
     private final int breakAfterTokens;
     private int sentTokens;
-    private boolean broken;
+    private boolean truncated;
 
-    private ChatResponse(ResponseStream stream, String answerId, int fromToken, int flushSteps, int breakAfterTokens) {
+    private ChatResponse(
+            ResponseStream stream, String responseId, int fromToken, int flushSteps, int breakAfterTokens) {
         this.stream = stream;
-        this.answerId = answerId;
+        this.responseId = responseId;
         this.sentTokens = fromToken;
         this.flushSteps = flushSteps;
         this.breakAfterTokens = breakAfterTokens;
     }
 
-    static ChatResponse whole(ResponseStream stream, String answerId, int fromToken, int flushSteps) {
-        return new ChatResponse(stream, answerId, fromToken, flushSteps, Integer.MAX_VALUE);
+    static ChatResponse complete(ResponseStream stream, String responseId, int fromToken, int flushSteps) {
+        return new ChatResponse(stream, responseId, fromToken, flushSteps, Integer.MAX_VALUE);
     }
 
-    /** Cuts the connection after so many tokens. */
-    static ChatResponse breaking(ResponseStream stream, String answerId, int flushSteps, int breakAfterTokens) {
-        return new ChatResponse(stream, answerId, 0, flushSteps, breakAfterTokens);
+    /** Creates a response that closes the connection after {@code breakAfterTokens} tokens. */
+    static ChatResponse truncated(ResponseStream stream, String responseId, int flushSteps, int breakAfterTokens) {
+        return new ChatResponse(stream, responseId, 0, flushSteps, breakAfterTokens);
     }
 
     @Override
     public void onToken(Generation generation) {
         int tokens = generation.tokens();
         boolean due = tokens == 1 || tokens - sentTokens >= flushSteps || tokens >= breakAfterTokens;
-        if (broken || !due || !generation.request().streaming()) {
+        if (truncated || !due || !generation.request().streaming()) {
             return;
         }
         sendTokens(generation, tokens);
         if (tokens >= breakAfterTokens) {
-            broken = true;
-            stream.breakOff();
+            truncated = true;
+            stream.closeConnection();
         }
     }
 
     @Override
     public void onEnd(Generation generation) {
-        if (broken) {
+        if (truncated) {
             return;
         }
         if (generation.state() == State.CANCELLED) {
-            stream.breakOff();
+            stream.closeConnection();
             return;
         }
         if (generation.request().streaming()) {
             endStream(generation);
         } else {
-            sendWhole(generation);
+            sendComplete(generation);
         }
     }
 
     private void endStream(Generation generation) {
         sendTokens(generation, generation.tokens());
         if (breakAfterTokens < Integer.MAX_VALUE) {
-            stream.breakOff();
+            stream.closeConnection();
             return;
         }
-        ObjectNode last = JSON.createObjectNode().put("id", answerId).put("object", "chat.completion.chunk");
+        ObjectNode last = JSON.createObjectNode().put("id", responseId).put("object", "chat.completion.chunk");
         last.putArray("choices");
         last.set("usage", usage(generation));
         stream.append(("data: " + last + "\n\n").getBytes(StandardCharsets.UTF_8));
@@ -86,7 +87,7 @@
         for (int index = sentTokens; index < upTo; index++) {
             boolean last = index == request.outputTokens() - 1;
             chunks.append("data: {\"id\":\"")
-                    .append(answerId)
+                    .append(responseId)
                     .append("\",\"object\":\"chat.completion.chunk\",\"model\":\"")
                     .append(request.model())
                     .append("\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"")
@@ -99,10 +100,10 @@
         stream.append(chunks.toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    private void sendWhole(Generation generation) {
+    private void sendComplete(Generation generation) {
         ChatRequest request = generation.request();
         ObjectNode json = JSON.createObjectNode()
-                .put("id", answerId)
+                .put("id", responseId)
                 .put("object", "chat.completion")
                 .put("model", request.model());
         ObjectNode choice = json.putArray("choices").addObject().put("index", 0).put("finish_reason", "stop");
@@ -116,9 +117,9 @@
             stream.end();
             return;
         }
-        stream.announceLength(body.length);
+        stream.setContentLength(body.length);
         stream.append(java.util.Arrays.copyOf(body, body.length / 2));
-        stream.breakOff();
+        stream.closeConnection();
     }
 
     private static ObjectNode usage(Generation generation) {
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/EngineCounter.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/EngineCounter.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Collects the {@link EngineCounts}. */
+/** Thread-safe collector of {@link EngineCounts}. */
 final class EngineCounter {
     private final Map<String, Integer> executions = new HashMap<>();
     private final Map<String, Long> tokensByCustomer = new HashMap<>();
@@ -16,13 +16,13 @@
     private double idleSlotMs;
 
     synchronized void started(ChatRequest request, int cachedTokens) {
-        executions.merge(request.countedId(), 1, Integer::sum);
+        executions.merge(request.executionId(), 1, Integer::sum);
         runningByCustomer.merge(request.customer(), 1, Integer::sum);
         started++;
         cachedPromptTokens += cachedTokens;
     }
 
-    synchronized void token(ChatRequest request) {
+    synchronized void tokenGenerated(ChatRequest request) {
         tokensByCustomer.merge(request.customer(), 1L, Long::sum);
     }
 
@@ -31,7 +31,7 @@
         completed++;
     }
 
-    /** @param wasRunning whether it had a place in the batch */
+    /** @param wasRunning whether the request held a batch slot */
     synchronized void cancelled(ChatRequest request, boolean wasRunning) {
         if (wasRunning) {
             runningByCustomer.merge(request.customer(), -1, Integer::sum);
@@ -39,7 +39,7 @@
         cancelled++;
     }
 
-    synchronized void passed(int busySlots, int idleSlots, double ms) {
+    synchronized void addSlotTime(int busySlots, int idleSlots, double ms) {
         busySlotMs += busySlots * ms;
         idleSlotMs += idleSlots * ms;
     }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/EngineCounts.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/EngineCounts.java
@@ -3,13 +3,13 @@
 import java.util.Map;
 
 /**
- * What the engine has done since its start, as it measured it itself.
+ * Counters that an engine has collected since its start.
  *
- * @param executions per request id, how often it was taken into the batch
- * @param tokensByCustomer output tokens generated for each customer
- * @param runningByCustomer places of the batch that each customer's requests hold now
- * @param busySlotMs time of batch places with a request in them, summed over the places
- * @param idleSlotMs time of empty batch places, summed over the places
+ * @param executions number of times each request id was admitted to the batch
+ * @param tokensByCustomer output tokens generated, by customer
+ * @param runningByCustomer batch slots currently held, by customer
+ * @param busySlotMs time with a request running, summed over the batch slots
+ * @param idleSlotMs time without a request, summed over the batch slots
  * @param cancelled requests cancelled before their end
  */
 public record EngineCounts(
@@ -22,7 +22,7 @@
         long cachedPromptTokens,
         double busySlotMs,
         double idleSlotMs) {
-    /** Request ids that were executed more than once. */
+    /** Returns the number of request ids executed more than once. */
     public long duplicateExecutions() {
         return executions.values().stream().filter(times -> times > 1).count();
     }
@@ -31,7 +31,7 @@
         return tokensByCustomer.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** The share of slot time that was busy since an earlier count; 0 where no time passed. */
+    /** Returns the fraction of slot time that was busy since the earlier counts, or 0 if no time has passed. */
     public double utilisationSince(EngineCounts earlier) {
         double busy = busySlotMs - earlier.busySlotMs;
         double idle = idleSlotMs - earlier.idleSlotMs;
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/EngineFault.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/EngineFault.java
@@ -1,16 +1,16 @@
 package org.marjoramswitch.testkit.engine;
 
-/** What goes wrong with requests that arrive while it is switched on. */
+/** Fault applied to requests that arrive while it is set. */
 public enum EngineFault {
     NONE,
-    /** Answers 503 and says that the request was not started. */
+    /** Responds 503 and reports that the request was not started. */
     NOT_STARTED,
-    /** Executes the request and never sends a byte, nor when asked to resume. */
+    /** Executes the request but never sends a byte, not even in response to a resume call. */
     HANG,
-    /** Cuts the connection in the middle of the answer. */
+    /** Closes the connection in the middle of the response. */
     BREAK_OFF,
-    /** Begins its answer late. */
+    /** Delays the start of the response. */
     LATE,
-    /** Gives the answer the id of another request. */
+    /** Sends the id of another request in the response. */
     WRONG_REQUEST_ID
 }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/EngineLoop.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/EngineLoop.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** The engine's one step thread. Everything that touches the batch is executed on it, between two steps. */
+/** Runs the engine's step thread. All access to the batch is executed on this thread, between steps. */
 final class EngineLoop {
     private static final double NANOS_PER_MS = 1_000_000;
 
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Makes one step of the engine, {@code ms} after the last. */
+    /** Executes a step of the engine, {@code ms} after the previous one. */
     interface StepListener {
         void onStep(double ms);
     }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/EngineOptions.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/EngineOptions.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** How a {@link ModelEngine} behaves; every setter returns the options themselves. */
+/** Mutable options of a {@link ModelEngine}; each setter returns this object. */
 public final class EngineOptions {
     long stepMs = 4;
     int maxBatch = 16;
@@ -26,12 +26,12 @@
 
     private EngineOptions() {}
 
-    /** Steps of 4 ms, a batch of 16, answers of 200 tokens on average, every model served, no fault. */
+    /** Steps of 4 ms, a batch of 16, outputs of 200 tokens on average, every model served, no faults. */
     public static EngineOptions defaults() {
         return new EngineOptions();
     }
 
-    /** Time of one step, in which each request of the batch gains a token. */
+    /** Duration of a step, which generates one token for each request in the batch. */
     public EngineOptions stepMs(long value) {
         stepMs = value;
         return this;
@@ -42,52 +42,52 @@
         return this;
     }
 
-    /** Engines with the same seed give the same answer to the same body. */
+    /** Engines with the same seed generate the same output for the same request body. */
     public EngineOptions seed(long value) {
         seed = value;
         return this;
     }
 
-    /** Answer lengths are log-normal: their median, and sigma of the logarithm. */
+    /** Sets the median and the sigma of the logarithm of the log-normal output length. */
     public EngineOptions outputLengths(double median, double sigmaOfLog) {
         medianTokens = median;
         sigma = sigmaOfLog;
         return this;
     }
 
-    /** Prompt tokens outside the cache that one step takes in. */
+    /** Uncached prompt tokens that one step prefills. */
     public EngineOptions prefillTokensPerStep(int value) {
         prefillTokensPerStep = value;
         return this;
     }
 
-    /** How many prompt prefixes the cache holds, and how many leading characters make a prefix. */
+    /** Sets the number of prompt prefixes in the cache and the length of a prefix in characters. */
     public EngineOptions prefixCache(int prefixes, int charsOfPrefix) {
         cachedPrefixes = prefixes;
         prefixChars = charsOfPrefix;
         return this;
     }
 
-    /** Tokens are written every so many steps; each keeps its own chunk. */
+    /** Number of steps between writes of a stream; each token is still sent as a separate event. */
     public EngineOptions flushSteps(int value) {
         flushSteps = value;
         return this;
     }
 
-    /** How old a load report may grow. */
+    /** Interval between updates of the load report. */
     public EngineOptions loadReportEveryMs(long value) {
         loadReportEveryMs = value;
         return this;
     }
 
-    /** Cache events show after a delay; one in {@code lostEvery} never does, none where it is 0. */
+    /** Cache events become visible after a delay; one in {@code lostEvery} is lost, or none if it is 0. */
     public EngineOptions cacheEvents(long delayMs, int lostEvery) {
         cacheEventDelayMs = delayMs;
         cacheEventLostEvery = lostEvery;
         return this;
     }
 
-    /** Whether an order with an old fencing number is refused. */
+    /** Whether an order with an outdated fencing number is rejected. */
     public EngineOptions checksFencing(boolean value) {
         checksFencing = value;
         return this;
@@ -99,31 +99,31 @@
         return this;
     }
 
-    /** Whether the engine says what became of a request, and gives its answer over another connection. */
+    /** Whether the engine reports the state of a request and can resume its response on another connection. */
     public EngineOptions resumes(boolean value) {
         resumes = value;
         return this;
     }
 
-    /** How long loading a model takes. */
+    /** Time to load a model. */
     public EngineOptions loadMs(long value) {
         loadMs = value;
         return this;
     }
 
-    /** How late an answer is under {@link EngineFault#LATE}. */
+    /** Delay of a response under {@link EngineFault#LATE}. */
     public EngineOptions lateMs(long value) {
         lateMs = value;
         return this;
     }
 
-    /** How many tokens go out before the cut under {@link EngineFault#BREAK_OFF}. */
+    /** Tokens sent before the connection is closed under {@link EngineFault#BREAK_OFF}. */
     public EngineOptions breakAfterTokens(int value) {
         breakAfterTokens = value;
         return this;
     }
 
-    /** The models loaded at the start; an empty list serves any model. */
+    /** Models loaded at the start; with an empty list, the engine serves any model. */
     public EngineOptions models(List<String> value) {
         models = List.copyOf(value);
         return this;
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/Generation.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/Generation.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One request on its way through the engine; only the step thread changes it. */
+/** Execution of a request in the engine. Modified only by the step thread. */
 final class Generation {
     enum State {
         QUEUED,
@@ -31,7 +31,7 @@
         return state;
     }
 
-    /** Output tokens so far. */
+    /** Returns the number of output tokens generated so far. */
     int tokens() {
         return tokens;
     }
@@ -58,15 +58,15 @@
         state = State.RUNNING;
     }
 
-    /** Returns whether the step gained a token. */
+    /** Runs one step and returns whether it generated a token. */
     boolean step() {
         if (prefillSteps > 0) {
             prefillSteps--;
             return false;
         }
-        int gained = tokens + 1;
-        tokens = gained;
-        if (gained >= request.outputTokens()) {
+        int generated = tokens + 1;
+        tokens = generated;
+        if (generated >= request.outputTokens()) {
             end(State.ENDED);
         } else {
             listeners.forEach(listener -> listener.onToken(this));
@@ -78,17 +78,17 @@
         end(State.CANCELLED);
     }
 
-    private void end(State how) {
-        state = how;
+    private void end(State finalState) {
+        state = finalState;
         listeners.forEach(listener -> listener.onEnd(this));
         listeners.clear();
     }
 
-    /** Follows a generation, on the step thread. */
+    /** Receives the progress of a generation, on the step thread. */
     interface TokenListener {
         void onToken(Generation generation);
 
-        /** Ended, with its last token, or cancelled. */
+        /** Called once, when the generation has produced its last token or has been cancelled. */
         void onEnd(Generation generation);
     }
 }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/ModelEngine.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/ModelEngine.java
@@ -22,16 +22,18 @@
 import org.marjoramswitch.testkit.http.StandInServer;
 
 /**
- * A small model engine over HTTP that batches continuously: in every step each request of the batch gains a token; the
- * rest waits in order of arrival.
+ * Stand-in for an HTTP model engine with continuous batching: each step generates one token for every request in the
+ * batch; the other requests are queued in order of arrival.
  *
- * <p>It speaks {@code POST /v1/chat/completions} (streaming or not, usage at the end), {@code GET /v1/load},
+ * <p>Implements {@code POST /v1/chat/completions} (streaming or not, usage at the end), {@code GET /v1/load},
  * {@code GET /v1/cache/events?after=n}, {@code GET /v1/requests/<id>}, {@code POST /v1/cancel/<id>},
- * {@code GET /v1/resume/<id>?from=n} and {@code POST|GET /v1/orders}. Export and import of KV cache are left out.
+ * {@code GET /v1/resume/<id>?from=n} and {@code POST|GET /v1/orders}. Export and import of the KV cache are not
+ * implemented.
  *
- * <p>A request is named by {@code X-Request-Id}, which the answer echoes, and its customer by {@code X-Customer} or the
- * body's {@code user}. Where it was not started the answer is 503 with {@code X-Run: not-run}. Executions are counted by
- * the {@code request-id=} that a prompt names, else by that header; an answer to such a prompt begins with the id.
+ * <p>A request is identified by {@code X-Request-Id}, which the response echoes, and its customer by {@code X-Customer}
+ * or the body's {@code user}. The response to a request that was not started is 503 with {@code X-Run: not-run}.
+ * Executions are counted by the {@code request-id=} in the prompt, or by the header if the prompt has none; the output
+ * of a prompt with an id starts with that id.
  */
 public final class ModelEngine implements AutoCloseable {
     public static final HttpString REQUEST_ID = HttpString.tryFromString("X-Request-Id");
@@ -52,7 +54,7 @@
     private final EngineLoop loop;
     private final StandInServer server;
     private final Map<String, Generation> generations = Collections.synchronizedMap(new RecentGenerations());
-    private final AtomicLong unnamed = new AtomicLong();
+    private final AtomicLong unnamedRequests = new AtomicLong();
     private volatile EngineFault fault = EngineFault.NONE;
     private volatile LoadSample load = new LoadSample(0, 0, 0);
 
@@ -74,7 +76,7 @@
         return engine;
     }
 
-    /** The text that every engine with these options gives to the chat request. */
+    /** Returns the text that every engine with these options generates for the chat request. */
     public static String expectedText(byte[] body, EngineOptions options) throws IOException {
         ChatRequest request = ChatRequest.parse("", "", body, options);
         return request.text(0, request.outputTokens());
@@ -84,7 +86,7 @@
         return server.port();
     }
 
-    /** The listener, for its own faults: refuse connections, cut them, let them go silent. */
+    /** Returns the HTTP listener, which can refuse, close or silence connections. */
     public StandInServer server() {
         return server;
     }
@@ -93,21 +95,21 @@
         return counter.counts();
     }
 
-    /** Fencing number, kind and model of every order obeyed, in order, such as {@code 7 load atelier-llm}. */
+    /** Returns fencing number, kind and model of all applied orders in sequence, such as {@code 7 load atelier-llm}. */
     public List<String> appliedOrders() {
-        List<String> obeyed = new ArrayList<>();
-        orders.applied().forEach(order -> obeyed.add(order.fence() + " " + order.kind() + " " + order.model()));
-        return obeyed;
+        List<String> applied = new ArrayList<>();
+        orders.applied().forEach(order -> applied.add(order.fence() + " " + order.kind() + " " + order.model()));
+        return applied;
     }
 
-    /** Goes wrong in this way from the next request on. */
+    /** Sets the fault of all subsequent requests. */
     public void setFault(EngineFault value) {
         fault = value;
     }
 
-    /** Loses every request, the cache and the models loaded by order, and cuts all connections. */
+    /** Discards all requests, the cache and the models loaded by orders, and closes all connections. */
     public void restartEmpty() {
-        server.cutConnections();
+        server.closeConnections();
         loop.execute(() -> {
             batch.clear();
             cache.clear();
@@ -167,7 +169,7 @@
     private void chat(HttpServerExchange exchange, byte[] body) {
         EngineFault current = fault;
         if (current == EngineFault.NOT_STARTED) {
-            notStarted(exchange);
+            respondNotStarted(exchange);
             return;
         }
         ChatRequest request = parse(exchange, body);
@@ -176,14 +178,14 @@
             return;
         }
         if (!orders.serves(request.model(), nowMs())) {
-            notStarted(exchange);
+            respondNotStarted(exchange);
             return;
         }
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> generate(exchange, request, current));
     }
 
     private @Nullable ChatRequest parse(HttpServerExchange exchange, byte[] body) {
-        String id = header(exchange, REQUEST_ID, "unnamed-" + unnamed.incrementAndGet());
+        String id = header(exchange, REQUEST_ID, "unnamed-" + unnamedRequests.incrementAndGet());
         try {
             return ChatRequest.parse(id, header(exchange, CUSTOMER, ""), body, options);
         } catch (IOException e) {
@@ -198,7 +200,7 @@
             cancelOnClose(exchange, generation);
         }
         if (current != EngineFault.HANG) {
-            answer(exchange, generation, current);
+            respond(exchange, generation, current);
         }
         loop.execute(() -> batch.add(generation));
     }
@@ -209,19 +211,19 @@
         }
     }
 
-    private void answer(HttpServerExchange exchange, Generation generation, EngineFault current) {
+    private void respond(HttpServerExchange exchange, Generation generation, EngineFault current) {
         ChatRequest request = generation.request();
-        String answerId = current == EngineFault.WRONG_REQUEST_ID ? "other-" + request.id() : request.id();
-        setHead(exchange, answerId, request.streaming());
+        String responseId = current == EngineFault.WRONG_REQUEST_ID ? "other-" + request.id() : request.id();
+        setHead(exchange, responseId, request.streaming());
         ResponseStream stream = ResponseStream.of(exchange);
-        ChatResponse answer = current == EngineFault.BREAK_OFF
-                ? ChatResponse.breaking(stream, answerId, options.flushSteps, options.breakAfterTokens)
-                : ChatResponse.whole(stream, answerId, 0, options.flushSteps);
-        Runnable begin = () -> loop.execute(() -> generation.listen(answer));
+        ChatResponse response = current == EngineFault.BREAK_OFF
+                ? ChatResponse.truncated(stream, responseId, options.flushSteps, options.breakAfterTokens)
+                : ChatResponse.complete(stream, responseId, 0, options.flushSteps);
+        Runnable start = () -> loop.execute(() -> generation.listen(response));
         if (current == EngineFault.LATE) {
-            exchange.getIoThread().executeAfter(begin, options.lateMs, TimeUnit.MILLISECONDS);
+            exchange.getIoThread().executeAfter(start, options.lateMs, TimeUnit.MILLISECONDS);
         } else {
-            begin.run();
+            start.run();
         }
     }
 
@@ -239,8 +241,9 @@
         setHead(exchange, id, generation.request().streaming());
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
             cancelOnClose(exchange, generation);
-            ChatResponse answer = ChatResponse.whole(ResponseStream.of(exchange), id, fromToken, options.flushSteps);
-            loop.execute(() -> generation.listen(answer));
+            ChatResponse response =
+                    ChatResponse.complete(ResponseStream.of(exchange), id, fromToken, options.flushSteps);
+            loop.execute(() -> generation.listen(response));
         });
     }
 
@@ -256,8 +259,8 @@
 
     private void order(HttpServerExchange exchange, byte[] body) {
         try {
-            boolean obeyed = orders.apply(JSON.readTree(body), nowMs());
-            send(exchange, obeyed ? 200 : 409, orders.toJson(nowMs()));
+            boolean applied = orders.apply(JSON.readTree(body), nowMs());
+            send(exchange, applied ? 200 : 409, orders.toJson(nowMs()));
         } catch (IOException e) {
             send(exchange, 400, error("not an order"));
         }
@@ -285,12 +288,12 @@
         return json;
     }
 
-    private static void setHead(HttpServerExchange exchange, String answerId, boolean streaming) {
-        exchange.getResponseHeaders().put(REQUEST_ID, answerId);
+    private static void setHead(HttpServerExchange exchange, String responseId, boolean streaming) {
+        exchange.getResponseHeaders().put(REQUEST_ID, responseId);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, streaming ? "text/event-stream" : "application/json");
     }
 
-    private static void notStarted(HttpServerExchange exchange) {
+    private static void respondNotStarted(HttpServerExchange exchange) {
         exchange.getResponseHeaders().put(RUN, NOT_RUN);
         send(exchange, 503, error("not started"));
     }
@@ -311,9 +314,9 @@
         exchange.getResponseSender().send(json.toString(), StandardCharsets.UTF_8);
     }
 
-    private static String header(HttpServerExchange exchange, HttpString name, String otherwise) {
+    private static String header(HttpServerExchange exchange, HttpString name, String defaultValue) {
         String value = exchange.getRequestHeaders().getFirst(name);
-        return value == null ? otherwise : value;
+        return value == null ? defaultValue : value;
     }
 
     private static long longParameter(HttpServerExchange exchange, String name) {
@@ -321,13 +324,13 @@
         return values == null ? 0 : Long.parseLong(values.getFirst());
     }
 
-    /** Requests that can still be asked for, cancelled and resumed. */
+    /** Recent requests, which can be queried, cancelled and resumed. */
     private static final class RecentGenerations extends LinkedHashMap<String, Generation> {
-        private static final int MOST_KEPT = 4_096;
+        private static final int MAX_SIZE = 4_096;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Generation> eldest) {
-            return size() > MOST_KEPT;
+            return size() > MAX_SIZE;
         }
     }
 
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/ModelOrders.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/ModelOrders.java
@@ -9,9 +9,9 @@
 import java.util.TreeMap;
 
 /**
- * What the engine was ordered to serve. An order is a desired state, so that the same order twice changes nothing:
- * {@code {"fence":7,"kind":"load","model":"m","version":"v","adapter":"a"}}, kinds {@code load}, {@code unload} and
- * {@code role} (with {@code "role"}).
+ * Models and role that orders have assigned to the engine. An order describes a desired state and is therefore
+ * idempotent: {@code {"fence":7,"kind":"load","model":"m","version":"v","adapter":"a"}}, kinds {@code load},
+ * {@code unload} and {@code role} (with {@code "role"}).
  */
 final class ModelOrders {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -33,7 +33,7 @@
         restart();
     }
 
-    /** Returns false where the order was refused because of its fencing number. */
+    /** Returns false if the order was rejected because of its fencing number. */
     synchronized boolean apply(JsonNode order, long nowMs) {
         long fence = order.path("fence").asLong();
         if (checksFencing && fence < highestFence) {
@@ -57,7 +57,7 @@
                         .anyMatch(entry -> entry.getKey().model.equals(model) && entry.getValue() <= nowMs);
     }
 
-    /** What is loaded, and with which fencing number the last order came. */
+    /** Returns the loaded models, the role and the highest fencing number. */
     synchronized ObjectNode toJson(long nowMs) {
         ObjectNode json = JSON.createObjectNode().put("fence", highestFence).put("role", role);
         ArrayNode loaded = json.putArray("loaded");
@@ -69,12 +69,12 @@
         return json;
     }
 
-    /** Every order obeyed, in order. */
+    /** Returns all applied orders in sequence. */
     synchronized List<Applied> applied() {
         return List.copyOf(applied);
     }
 
-    /** Forgets everything, as a process that starts anew does. */
+    /** Resets all state except the record of applied orders, as a restart of the process does. */
     synchronized void restart() {
         highestFence = 0;
         role = "both";
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/PrefixCache.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/PrefixCache.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The prompt prefixes that the engine holds, the least recently used giving way; only the step thread uses it. */
+/** LRU cache of prompt prefixes. Used only by the step thread. */
 final class PrefixCache {
     private final int capacity;
     private final ChangeListener listener;
@@ -14,7 +14,7 @@
         this.listener = listener;
     }
 
-    /** Returns whether the prefix was there; it is afterwards. */
+    /** Adds the prefix, or marks it as recently used, and returns whether it was cached before. */
     boolean touch(long prefixHash) {
         if (prefixes.put(prefixHash, true) != null) {
             return true;
@@ -33,7 +33,7 @@
         prefixes.clear();
     }
 
-    /** Hears of prefixes that come and go. */
+    /** Receives additions and evictions of prefixes. */
     interface ChangeListener {
         void onChange(long prefixHash, boolean present);
     }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/engine/package-info.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/engine/package-info.java
@@ -1,4 +1,4 @@
-/** A stand-in for a model engine that batches continuously. */
+/** Stand-in for a model engine with continuous batching. */
 @NullMarked
 package org.marjoramswitch.testkit.engine;
 
--- a/testkit/src/main/java/org/marjoramswitch/testkit/http/DisconnectDetector.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/http/DisconnectDetector.java
@@ -8,10 +8,10 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * Notices that a caller closes its connection while its request runs. Undertow does not read between a request's last
- * byte and the end of its answer, and so would see the close only at the next write; an engine that has not yet
- * anything to write would go on for a caller who is gone. Ends by itself: Undertow sets its own read listener for the
- * next request.
+ * Detects that a caller closes its connection while its request is running. Undertow does not read between the last
+ * byte of a request and the end of its response, so it would notice the close only at the next write; an engine that
+ * has nothing to write yet would continue for a disconnected caller. Needs no cleanup: Undertow replaces the read
+ * listener for the next request.
  */
 final class DisconnectDetector {
     private final AbstractServerConnection connection;
@@ -23,9 +23,9 @@
         this.source = connection.getOriginalSourceConduit();
     }
 
-    /** Watches the connection of an exchange whose request was read whole, until the exchange is complete. */
+    /** Monitors the connection of an exchange whose request was read completely, until the exchange is complete. */
     static void begin(HttpServerExchange exchange) {
-        // Later, since Undertow suspends reads when the call that brought the request returns.
+        // Deferred, since Undertow suspends reads when the call that delivered the request returns.
         exchange.getIoThread().execute(() -> {
             if (!exchange.isComplete() && exchange.getConnection() instanceof AbstractServerConnection connection) {
                 new DisconnectDetector(connection).resume();
@@ -41,7 +41,7 @@
     private void readReady() {
         try {
             if (source.read(probe.clear()) != 0) {
-                // Closed, or a caller that pipelines, which the stand-ins don't serve.
+                // End of stream, or a pipelined request, which the stand-ins do not support.
                 IoUtils.safeClose(connection);
             }
         } catch (IOException e) {
--- a/testkit/src/main/java/org/marjoramswitch/testkit/http/ResponseStream.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/http/ResponseStream.java
@@ -10,18 +10,18 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * An answer written piece by piece from any thread; the exchange's IO thread does the writing. What the caller does not
- * read yet waits in memory: the answers of a stand-in are short.
+ * Response body that any thread may append to; the exchange's I/O thread writes it. Unread bytes are buffered without a
+ * bound, since the responses of a stand-in are short.
  */
 public final class ResponseStream {
     private final HttpServerExchange exchange;
     private final TrackedConnection connection;
     private final ConcurrentLinkedQueue<byte[]> pending = new ConcurrentLinkedQueue<>();
-    private final AtomicBoolean pumpScheduled = new AtomicBoolean();
+    private final AtomicBoolean writeScheduled = new AtomicBoolean();
     private volatile boolean ended;
-    private volatile boolean cutAtEnd;
+    private volatile boolean closeAfterWrite;
     private @Nullable StreamSinkChannel channel;
-    private ByteBuffer writing = ByteBuffer.allocate(0);
+    private ByteBuffer buffer = ByteBuffer.allocate(0);
     private boolean finished;
 
     private ResponseStream(HttpServerExchange exchange) {
@@ -29,7 +29,7 @@
         this.connection = StandInServer.connectionOf(exchange);
     }
 
-    /** For an exchange that was dispatched and whose head is set. */
+    /** Creates the stream of an exchange that has been dispatched and whose status and headers are set. */
     public static ResponseStream of(HttpServerExchange exchange) {
         return new ResponseStream(exchange);
     }
@@ -38,36 +38,39 @@
         return connection;
     }
 
-    /** Names the body's length before its first byte; left out, the answer goes out in chunks or whole at its end. */
-    public void announceLength(long bodyBytes) {
+    /**
+     * Sets the content length. Must be called before the first byte is appended. Without it, the response is chunked,
+     * or gets a content length if it ends before anything is written.
+     */
+    public void setContentLength(long bodyBytes) {
         exchange.setResponseContentLength(bodyBytes);
     }
 
     public void append(byte[] bytes) {
         pending.add(bytes);
-        schedulePump();
+        scheduleWrite();
     }
 
-    /** The answer is whole. */
+    /** Completes the response. */
     public void end() {
         ended = true;
-        schedulePump();
+        scheduleWrite();
     }
 
-    /** Cuts the connection once what was appended has gone out. */
-    public void breakOff() {
-        cutAtEnd = true;
-        schedulePump();
+    /** Closes the connection once the appended bytes have been written. */
+    public void closeConnection() {
+        closeAfterWrite = true;
+        scheduleWrite();
     }
 
-    private void schedulePump() {
-        if (pumpScheduled.compareAndSet(false, true)) {
-            exchange.getIoThread().execute(this::pump);
+    private void scheduleWrite() {
+        if (writeScheduled.compareAndSet(false, true)) {
+            exchange.getIoThread().execute(this::write);
         }
     }
 
-    private void pump() {
-        pumpScheduled.set(false);
+    private void write() {
+        writeScheduled.set(false);
         if (finished || connection.isSilent()) {
             return;
         }
@@ -75,20 +78,20 @@
             writePending();
         } catch (IOException e) {
             finished = true;
-            connection.cut();
+            connection.close();
         }
     }
 
     private void writePending() throws IOException {
         boolean last = ended;
-        boolean cut = cutAtEnd;
+        boolean close = closeAfterWrite;
         if (last && channel == null && exchange.getResponseContentLength() < 0) {
             exchange.setResponseContentLength(pendingBytes());
         }
         StreamSinkChannel out = openChannel();
-        takePending();
-        while (writing.hasRemaining()) {
-            if (out.write(writing) == 0) {
+        drainPending();
+        while (buffer.hasRemaining()) {
+            if (out.write(buffer) == 0) {
                 out.resumeWrites();
                 return;
             }
@@ -105,9 +108,9 @@
             out.resumeWrites();
             return;
         }
-        if (cut) {
+        if (close) {
             finished = true;
-            connection.cut();
+            connection.close();
         }
     }
 
@@ -115,7 +118,7 @@
         StreamSinkChannel opened = channel;
         if (opened == null) {
             opened = exchange.getResponseChannel();
-            opened.getWriteSetter().set(writable -> pump());
+            opened.getWriteSetter().set(writable -> write());
             channel = opened;
         }
         return opened;
@@ -125,13 +128,13 @@
         return pending.stream().mapToInt(bytes -> bytes.length).sum();
     }
 
-    private void takePending() {
-        int bytes = writing.remaining() + pendingBytes();
+    private void drainPending() {
+        int bytes = buffer.remaining() + pendingBytes();
         ByteBuffer all = ByteBuffer.allocate(bytes);
-        all.put(writing);
+        all.put(buffer);
         while (!pending.isEmpty() && all.remaining() >= pending.peek().length) {
             all.put(pending.poll());
         }
-        writing = all.flip();
+        buffer = all.flip();
     }
 }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/http/StandInServer.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/http/StandInServer.java
@@ -20,8 +20,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * A loopback HTTP listener with the faults of a listener: it refuses connections, cuts all open ones, or lets them go
- * silent while new ones work. The port stays the same over a refusal.
+ * Loopback HTTP listener with fault injection: it can refuse connections, close all open ones, or make them silent
+ * while new ones work. The port is kept while connections are refused.
  */
 public final class StandInServer implements AutoCloseable {
     private static final AttachmentKey<TrackedConnection> TRACKED = AttachmentKey.create(TrackedConnection.class);
@@ -42,7 +42,7 @@
         this.port = ((InetSocketAddress) first.getListenerInfo().get(0).getAddress()).getPort();
     }
 
-    /** Listens on a free port of 127.0.0.1 with one IO thread; the handler must not block. */
+    /** Listens on a free port of 127.0.0.1 with one I/O thread; the handler must not block. */
     public static StandInServer start(String name, HttpHandler handler) {
         OptionMap options = OptionMap.builder()
                 .set(Options.WORKER_IO_THREADS, 1)
@@ -63,7 +63,7 @@
         return port;
     }
 
-    /** Connections that have carried at least one request, since the start. */
+    /** Returns the number of connections that have carried at least one request since the start. */
     public int connectionsAccepted() {
         return accepted.get();
     }
@@ -72,39 +72,37 @@
         return open.size();
     }
 
-    /** Stops listening, so that a connect is refused, and cuts the open connections. */
+    /** Stops listening, so that connection attempts are refused, and closes the open connections. */
     public synchronized void refuseConnections() {
         Undertow running = listener;
         if (running != null) {
             running.stop();
             listener = null;
         }
-        cutConnections();
+        closeConnections();
     }
 
-    /** Listens again on the same port. */
+    /** Resumes listening on the same port. */
     public synchronized void acceptConnections() {
         if (listener == null) {
             listener = listen(port);
         }
     }
 
-    public void cutConnections() {
-        open.forEach(TrackedConnection::cut);
+    public void closeConnections() {
+        open.forEach(TrackedConnection::close);
     }
 
-    /**
-     * From now on no byte goes out on the connections that are open now, and their close goes unnoticed; new ones work.
-     */
+    /** Stops all writes on the currently open connections and ignores their close; new connections work. */
     public void silenceOpenConnections() {
         open.forEach(TrackedConnection::silence);
     }
 
-    /** The connection of a running exchange. */
+    /** Returns the connection of a running exchange. */
     public static TrackedConnection connectionOf(HttpServerExchange exchange) {
         TrackedConnection tracked = exchange.getConnection().getAttachment(TRACKED);
         if (tracked == null) {
-            throw new IllegalStateException("exchange of another server");
+            throw new IllegalStateException("exchange does not belong to this server");
         }
         return tracked;
     }
@@ -147,7 +145,7 @@
         tracked.closed();
     }
 
-    /** One open connection of a caller. */
+    /** An open connection of a caller. */
     public static final class TrackedConnection {
         private final ServerConnection connection;
         private volatile boolean silent;
@@ -161,18 +159,21 @@
             return silent;
         }
 
-        /** Closes the connection at once, whatever it was about to carry. */
-        public void cut() {
+        /** Closes the connection immediately, aborting any exchange. May be called on any thread. */
+        public void close() {
             connection.getIoThread().execute(() -> IoUtils.safeClose(connection));
         }
 
-        /** What to do if the connection closes during the exchange, whose request was read whole. */
+        /**
+         * Sets the action to run if the connection closes during the exchange, whose request must have been read
+         * completely.
+         */
         public void onClose(HttpServerExchange exchange, Runnable action) {
             onClose = action;
             DisconnectDetector.begin(exchange);
         }
 
-        /** The connection's close means nothing any more. */
+        /** Removes the action set by {@link #onClose}. */
         public void ignoreClose() {
             onClose = null;
         }
@@ -183,7 +184,7 @@
 
         private void closed() {
             Runnable action = onClose;
-            // Of a silent connection the other end's close does not arrive either.
+            // On a silent connection, the close by the other end is not received either.
             if (action != null && !silent) {
                 action.run();
             }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/http/package-info.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/http/package-info.java
@@ -1,4 +1,4 @@
-/** What the HTTP stand-ins have in common: their listener and their answers. */
+/** Listener and response writer shared by the HTTP stand-ins. */
 @NullMarked
 package org.marjoramswitch.testkit.http;
 
--- a/testkit/src/main/java/org/marjoramswitch/testkit/service/PlainService.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/service/PlainService.java
@@ -11,9 +11,9 @@
 import org.marjoramswitch.testkit.http.StandInServer;
 
 /**
- * A plain service over HTTP that counts how often it executed each call. Calls are told apart by {@code X-Call-Key}, or
- * by {@code X-Request-Id} where there is none; the answer is {@code executed <request id>}, with {@code for <call key>}
- * where there is one, and echoes the id.
+ * Plain HTTP service that counts how often it executes each call. Calls are identified by {@code X-Call-Key}, or by
+ * {@code X-Request-Id} if that header is absent. The response is {@code executed <request id>}, followed by
+ * {@code for <call key>} if there is one, and echoes the request id header.
  */
 public final class PlainService implements AutoCloseable {
     public static final HttpString CALL_KEY = HttpString.tryFromString("X-Call-Key");
@@ -33,7 +33,10 @@
         this.server = StandInServer.start("service", this::handle);
     }
 
-    /** Listens on a free port of 127.0.0.1; a call takes {@code workMs}, under {@link ServiceFault#SLOW} as much more. */
+    /**
+     * Listens on a free port of 127.0.0.1; a call takes {@code workMs}, plus {@code slowMs} under
+     * {@link ServiceFault#SLOW}.
+     */
     public static PlainService start(long workMs, long slowMs) {
         return new PlainService(workMs, slowMs);
     }
@@ -46,17 +49,17 @@
         return server;
     }
 
-    /** Goes wrong in this way from the next call on. */
+    /** Sets the fault of all subsequent calls. */
     public void setFault(ServiceFault value) {
         fault = value;
     }
 
-    /** How often each call was executed, by its key. */
+    /** Returns the number of executions of each call, by call key. */
     public Map<String, Integer> executions() {
         return Map.copyOf(executions);
     }
 
-    /** Calls that were executed more than once. */
+    /** Returns the number of calls executed more than once. */
     public long duplicateExecutions() {
         return executions.values().stream().filter(times -> times > 1).count();
     }
@@ -76,7 +79,7 @@
         if (current == ServiceFault.NOT_STARTED) {
             exchange.setStatusCode(503);
             exchange.getResponseHeaders().put(RUN, "not-run");
-            answer(exchange, "not started");
+            respond(exchange, "not started");
             return;
         }
         String id = header(exchange, REQUEST_ID, NO_KEY);
@@ -85,25 +88,25 @@
         String text = key.equals(id) ? "executed " + id : "executed " + id + " for " + key;
         switch (current) {
             case HANG -> {}
-            case BREAK_AFTER_EXECUTING -> StandInServer.connectionOf(exchange).cut();
-            default -> answerAfterWork(exchange, text, current);
+            case BREAK_AFTER_EXECUTING -> StandInServer.connectionOf(exchange).close();
+            default -> respondAfterWork(exchange, text, current);
         }
     }
 
-    private void answerAfterWork(HttpServerExchange exchange, String text, ServiceFault current) {
+    private void respondAfterWork(HttpServerExchange exchange, String text, ServiceFault current) {
         long delayMs = current == ServiceFault.SLOW ? workMs + slowMs : workMs;
-        exchange.getIoThread().executeAfter(() -> answer(exchange, text), delayMs, TimeUnit.MILLISECONDS);
+        exchange.getIoThread().executeAfter(() -> respond(exchange, text), delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private static void answer(HttpServerExchange exchange, String text) {
+    private static void respond(HttpServerExchange exchange, String text) {
         exchange.getResponseHeaders().put(REQUEST_ID, header(exchange, REQUEST_ID, NO_KEY));
         ResponseStream stream = ResponseStream.of(exchange);
         stream.append(text.getBytes(StandardCharsets.UTF_8));
         stream.end();
     }
 
-    private static String header(HttpServerExchange exchange, HttpString name, String otherwise) {
+    private static String header(HttpServerExchange exchange, HttpString name, String defaultValue) {
         String value = exchange.getRequestHeaders().getFirst(name);
-        return value == null ? otherwise : value;
+        return value == null ? defaultValue : value;
     }
 }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/service/ServiceFault.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/service/ServiceFault.java
@@ -1,14 +1,14 @@
 package org.marjoramswitch.testkit.service;
 
-/** What goes wrong with calls that arrive while it is switched on. */
+/** Fault applied to calls that arrive while it is set. */
 public enum ServiceFault {
     NONE,
-    /** Executes and answers late. */
+    /** Executes the call and responds late. */
     SLOW,
-    /** Executes and cuts the connection before a byte of the answer. */
+    /** Executes the call and closes the connection before the first byte of the response. */
     BREAK_AFTER_EXECUTING,
-    /** Answers 503 and says that the call was not started. */
+    /** Responds 503 and reports that the call was not started. */
     NOT_STARTED,
-    /** Executes and never answers. */
+    /** Executes the call and never responds. */
     HANG
 }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/service/package-info.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/service/package-info.java
@@ -1,4 +1,4 @@
-/** A stand-in for a plain service. */
+/** Stand-in for a plain HTTP service. */
 @NullMarked
 package org.marjoramswitch.testkit.service;
 
