--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/Bench.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/Bench.java
@@ -7,7 +7,7 @@
 import java.util.function.Function;
 import org.marjoramswitch.kernel.KernelOptions;
 
-/** Runs the bench's cases, every policy on the same load. The same options give the same results, bit for bit. */
+/** Runs the benchmark cases with every policy on the same load. Deterministic: equal options give identical results. */
 public final class Bench {
     private static final Map<String, Function<BenchRun, Router>> POLICIES = policies();
     private static final Map<String, Function<BenchRun, Router>> FLEET_ONLY =
@@ -17,16 +17,16 @@
 
     private Bench() {}
 
-    /** The names of all cases, in the order in which they run. */
+    /** Returns the names of all cases in execution order. */
     public static List<String> caseNames() {
         return plan().stream().map(planned -> planned.benchCase().name()).toList();
     }
 
-    /** Runs the cases that the options want and prints a line for each result as it comes. */
+    /** Runs the selected cases and prints a line for each result when it is available. */
     public static List<BenchResult> run(BenchOptions options) {
         List<BenchResult> results = new ArrayList<>();
         for (Planned planned : plan()) {
-            if (options.wants(planned.benchCase().name())) {
+            if (options.includes(planned.benchCase().name())) {
                 runCase(planned, options, results);
             }
         }
@@ -68,19 +68,22 @@
 
     private static void runCase(Planned planned, BenchOptions options, List<BenchResult> results) {
         planned.policies().forEach((policy, factory) -> {
-            BenchResult result = againstNoFlood(runSeeds(planned, policy, factory, options), results);
+            BenchResult result = compareWithoutFlood(runSeeds(planned, policy, factory, options), results);
             options.out().println(result.line());
             options.out().flush();
             results.add(result);
         });
     }
 
-    /** Sets a flood's result beside the same policy's and deployment's without the flood, where that was run. */
-    private static BenchResult againstNoFlood(BenchResult result, List<BenchResult> before) {
+    /**
+     * Adds to the result of a flood case the ratios to the result without the flood of the same policy and shape, if that
+     * case was run before.
+     */
+    private static BenchResult compareWithoutFlood(BenchResult result, List<BenchResult> previous) {
         if (!result.caseName().endsWith("_flood")) {
             return result;
         }
-        return before.stream()
+        return previous.stream()
                 .filter(other -> other.caseName().equals(result.caseName() + "_absent"))
                 .filter(other -> other.policy().equals(result.policy()))
                 .findFirst()
@@ -90,7 +93,7 @@
 
     private static BenchResult runSeeds(
             Planned planned, String policy, Function<BenchRun, Router> factory, BenchOptions options) {
-        int seconds = Math.min(planned.mostSeconds(), options.seconds());
+        int seconds = Math.min(planned.maxSeconds(), options.seconds());
         return options.seeds().stream()
                 .map(seed -> BenchRun.create(planned.benchCase(), policy, factory, seed)
                         .run(seconds))
@@ -106,7 +109,7 @@
         return policies;
     }
 
-    /** The fleet with other constants than the defaults. */
+    /** The fleet policy with kernel options that differ from the defaults. */
     private static Map<String, Function<BenchRun, Router>> variants() {
         KernelOptions defaults = KernelOptions.defaults();
         Map<String, Function<BenchRun, Router>> variants = new LinkedHashMap<>();
@@ -122,9 +125,9 @@
     /**
      * A case to run.
      *
-     * @param mostSeconds measured at most, whatever the options say
+     * @param maxSeconds upper limit on the measured seconds, regardless of the options
      */
-    private record Planned(BenchCase benchCase, Map<String, Function<BenchRun, Router>> policies, int mostSeconds) {
+    private record Planned(BenchCase benchCase, Map<String, Function<BenchRun, Router>> policies, int maxSeconds) {
         private static Planned of(BenchCase benchCase, Map<String, Function<BenchRun, Router>> policies) {
             return new Planned(benchCase, policies, Integer.MAX_VALUE);
         }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchBounds.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchBounds.java
@@ -13,18 +13,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The bounds that results are held to: ratios and counts of the virtual run, no wall-clock times. They hold for the
- * seconds and seeds that the file names, with which the results are the same on every machine.
+ * Bounds on benchmark results. They apply to ratios, counts and times of the simulation, never to wall-clock times, and
+ * only to the seconds and seeds given in the file, for which the results are the same on every machine.
  *
- * @param seconds measured virtual seconds
- * @param cases cases that the build runs; the others are checked when the whole bench is run
+ * @param seconds measured seconds of virtual time
+ * @param cases cases that the build runs; the others are checked when the complete benchmark is run
  */
 public record BenchBounds(int seconds, List<Long> seeds, List<String> cases, List<Bound> bounds) {
     private static final String RESOURCE = "/bench-bounds.json";
     private static final String GAP_SHARE_OF_INDEPENDENT = "gap_share_of_independent";
     private static final String GAP_SHARE_OF_BOUND = "gap_share_of_bound";
 
-    /** The committed bounds. */
+    /** Loads the bounds from the resource file. */
     public static BenchBounds load() {
         try (InputStream in = BenchBounds.class.getResourceAsStream(RESOURCE)) {
             return new ObjectMapper().readValue(Objects.requireNonNull(in, RESOURCE), BenchBounds.class);
@@ -33,12 +33,12 @@
         }
     }
 
-    /** One line of key=value pairs for each bound that a result breaks; bounds without a result are passed over. */
+    /** Returns one line of key=value pairs for each violated bound. Bounds without a result are ignored. */
     public List<String> violations(List<BenchResult> results) {
         List<String> violations = new ArrayList<>();
         for (BenchResult result : results) {
-            none(Measure.LOST, result).ifPresent(violations::add);
-            none(Measure.DOUBLED, result).ifPresent(violations::add);
+            requireZero(Measure.LOST, result).ifPresent(violations::add);
+            requireZero(Measure.DOUBLED, result).ifPresent(violations::add);
         }
         for (Bound bound : bounds) {
             resultOf(bound.caseName(), bound.policy(), results)
@@ -48,7 +48,7 @@
         return violations;
     }
 
-    private static Optional<String> none(Measure measure, BenchResult result) {
+    private static Optional<String> requireZero(Measure measure, BenchResult result) {
         return new Bound(result.caseName(), result.policy(), measure.key(), 0.0, null, null)
                 .violation(result.value(measure));
     }
@@ -74,10 +74,10 @@
     }
 
     /**
-     * What one measure of one case may be.
+     * Permitted range of one measure in one case.
      *
      * @param measure a {@link Measure#key}, or {@code gap_share_of_independent} or {@code gap_share_of_bound}
-     * @param target what is aimed at, where that is missed; docs/MEASUREMENTS.md says why
+     * @param target the intended value, if it is missed; docs/MEASUREMENTS.md explains why
      */
     public record Bound(
             @JsonProperty("case") String caseName,
@@ -87,7 +87,7 @@
             @Nullable Double atLeast,
             @Nullable Double target) {
         private Optional<String> violation(double measured) {
-            // Written so that a measure that is not a number breaks its bound.
+            // Negated comparisons, so that NaN violates the bound.
             boolean above = atMost != null && !(measured <= atMost);
             boolean below = atLeast != null && !(measured >= atLeast);
             if (!above && !below) {
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchCase.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchCase.java
@@ -4,13 +4,13 @@
 import org.marjoramswitch.kernel.settings.PoolSettings;
 
 /**
- * One case of the bench.
+ * A benchmark case.
  *
- * @param cellTargets the pool's setting
- * @param fault what befalls the arbiter of the first cell
- * @param faultEveryMs how often; 0 for never
- * @param partitionAtMs when the fleet falls into two halves, 0 for never
- * @param partitionMs how long it stays so
+ * @param cellTargets cell size setting of the pools
+ * @param fault fault injected into the arbiter of the first cell
+ * @param faultEveryMs interval between faults; 0 for none
+ * @param partitionAtMs time at which the fleet is partitioned into two halves; 0 for never
+ * @param partitionMs duration of the partition
  */
 record BenchCase(
         String name,
@@ -42,13 +42,13 @@
         return new BenchCase(name, shape, loads, cellTargets, fault, faultEveryMs, atMs, forMs);
     }
 
-    /** What befalls an instance. */
+    /** Fault of an instance. */
     enum Fault {
-        /** It dies without a word with all it held, and is back empty later. */
+        /** The instance crashes without notice, loses all state and restarts later. */
         KILLED,
-        /** Its process stands still past the time in which the others take it for dead, and goes on as if nothing were. */
+        /** The process is suspended until after the others consider it dead, then continues with its old state. */
         PAUSED,
-        /** It shuts down gracefully, finishes its callers' requests, and is replaced. */
+        /** The instance shuts down gracefully, completes its callers' requests and is replaced. */
         LEAVING
     }
 }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchCases.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchCases.java
@@ -7,7 +7,7 @@
 import org.marjoramswitch.testkit.bench.BenchCase.Fault;
 import org.marjoramswitch.testkit.bench.CustomerLoad.Group;
 
-/** The bench's cases, by deployment: 16 customers of which four are large, spread unevenly over the entries. */
+/** Defines the benchmark cases of a shape: 16 customers, four of them large, spread unevenly over the entries. */
 final class BenchCases {
     static final int[] CELL_SIZES = {1, 2, 4, 8};
     static final int[] SCALES = {9, 40, 120, 350};
@@ -32,17 +32,17 @@
 
     private BenchCases() {}
 
-    /** Every customer always has requests waiting. */
+    /** Every customer is always backlogged. */
     static BenchCase steady(BenchShape shape) {
         return BenchCase.of("steady", shape, withServices(shape, backlogged(shape, false)));
     }
 
-    /** The same, but the large customers come through two entries and each small one through one other. */
+    /** As {@link #steady}, but all large customers use two entries and each small one uses one of the others. */
     static BenchCase uneven(BenchShape shape) {
         return BenchCase.of("uneven", shape, withServices(shape, backlogged(shape, true)));
     }
 
-    /** Seven tenths of the capacity is asked for, most of it by the large customers. */
+    /** The demand is 70% of the capacity, most of it from the large customers. */
     static BenchCase light(BenchShape shape) {
         double requestsPerS = LIGHT_LOAD * shape.tokensPerS() / CustomerLoad.MEAN_TOKENS;
         double largeEach = requestsPerS * LARGE_SHARE_OF_LIGHT / LARGE;
@@ -50,7 +50,7 @@
         return BenchCase.of("light", shape, withServices(shape, open(shape, CUSTOMERS, largeEach, smallEach)));
     }
 
-    /** Fifteen customers ask for six tenths of the capacity; the last one for a hundred times its share. */
+    /** 15 customers demand about 60% of the capacity, and the last one demands 100 times its share. */
     static BenchCase flood(BenchShape shape) {
         List<CustomerLoad> loads = new ArrayList<>(flooded(shape));
         double shareRequestsPerS = shape.tokensPerS() / CustomerLoad.MEAN_TOKENS / CUSTOMERS;
@@ -59,7 +59,7 @@
         return BenchCase.of("flood", shape, loads);
     }
 
-    /** The flood's case without the flood. */
+    /** As {@link #flood}, without the flooding customer. */
     static BenchCase withoutFlood(BenchShape shape) {
         return BenchCase.of("flood_absent", shape, flooded(shape));
     }
@@ -76,12 +76,15 @@
         return steady(shape).named("arbiter_leaving").withArbiter(Fault.LEAVING, FAULT_EVERY_MS);
     }
 
-    /** The fleet falls into halves of four and five instances, which both reach every target. */
+    /** The fleet is partitioned into four and five instances; both sides can reach every target. */
     static BenchCase partition(BenchShape shape) {
         return steady(shape).named("partition").partitioned(PARTITION_AT_MS, PARTITION_MS);
     }
 
-    /** Constant load per instance; a tenth of the customers backlogged, the others ask for six tenths of the rest. */
+    /**
+     * Constant load per instance: a tenth of the customers is backlogged, each of the others demands an equal part of 60%
+     * of the capacity.
+     */
     static BenchCase scale(int instances) {
         BenchShape shape = BenchShape.scaled(instances);
         int customers = CUSTOMERS * instances / BenchShape.THIES.instances();
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchRequest.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchRequest.java
@@ -2,7 +2,7 @@
 
 import org.marjoramswitch.kernel.model.RequestSpec;
 
-/** A request of the load, with what only the engine knows (its output) and what the bench notes of it. */
+/** A simulated request with its output length, which only the engine knows, and its state in the benchmark. */
 final class BenchRequest {
     final RequestSpec spec;
     final int load;
@@ -11,7 +11,7 @@
     final long arrivedUs;
     private int executions;
     private boolean started;
-    private boolean answering;
+    private boolean responding;
     private boolean ended;
 
     private BenchRequest(RequestSpec spec, int load, int entry, long outputTokens, long arrivedUs) {
@@ -26,32 +26,32 @@
         return new BenchRequest(spec, load, entry, outputTokens, arrivedUs);
     }
 
-    /** Notes that a target began to execute it; returns how often one has. */
-    int noteExecution() {
+    /** Records the start of an execution and returns the number of executions so far. */
+    int recordExecution() {
         started = true;
         return ++executions;
     }
 
-    /** True while no target has begun to execute it and it has not ended. */
-    boolean waiting() {
+    /** Returns true until a target starts executing the request or the request ends. */
+    boolean isWaiting() {
         return !started && !ended;
     }
 
-    /** Notes a part of the answer; true for the first. */
-    boolean noteAnswer() {
-        boolean first = !answering;
-        answering = true;
+    /** Records a part of the response and returns true for the first one. */
+    boolean recordResponsePart() {
+        boolean first = !responding;
+        responding = true;
         return first;
     }
 
-    /** Notes its end; false where it had ended before. */
-    boolean noteEnd() {
+    /** Records the end of the request and returns false if it had already ended. */
+    boolean recordEnd() {
         boolean first = !ended;
         ended = true;
         return first;
     }
 
-    boolean ended() {
+    boolean hasEnded() {
         return ended;
     }
 }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchResult.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchResult.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * What one policy did in one case.
+ * Result of one policy in one case.
  *
- * @param values the worst of the seeds, counts added up
+ * @param values worst value over all seeds; counts are summed
  * @param controlBytesByType encoded bytes per answered request by type of message, of the first seed
  */
 public record BenchResult(
@@ -21,12 +21,12 @@
                 Collections.unmodifiableMap(controlBytesByType));
     }
 
-    /** The measured value; 0 where the case or policy has none. */
+    /** Returns the measured value, or 0 if the case or policy has none. */
     public double value(Measure measure) {
         return values.getOrDefault(measure, 0.0);
     }
 
-    /** The result as one line of key=value pairs. */
+    /** Formats the result as one line of key=value pairs. */
     public String line() {
         StringBuilder line = new StringBuilder("event=bench case=" + caseName + " policy=" + policy);
         for (Measure measure : Measure.values()) {
@@ -47,7 +47,7 @@
         return of(caseName, policy, merged, controlBytesByType);
     }
 
-    /** The same with the others' waits set against those of a run without the flood. */
+    /** Returns this result with the ratios of the other customers' times to those of a run without the flood. */
     BenchResult comparedTo(BenchResult withoutFlood) {
         Map<Measure, Double> compared = new EnumMap<>(values);
         compared.put(Measure.OTHERS_TTFT_RATIO, ratio(Measure.OTHERS_TTFT_P95_MS, withoutFlood));
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchRun.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchRun.java
@@ -17,24 +17,24 @@
 import org.marjoramswitch.testkit.bench.CustomerLoad.Group;
 
 /**
- * One run of one policy over one case with one seed: joins callers, entries and engines in virtual time and measures.
- * Callers of an entry that is killed are lost with it and come back through another one.
+ * Runs one policy in one case with one seed: connects callers, entries and engines in virtual time and collects the
+ * measures. When an entry is killed, its open requests are lost and its callers reconnect through another entry.
  */
 final class BenchRun {
     static final double PROMPT_TOKEN_COST = 0.1;
-    /** How many requests of a customer may wait at an entry. */
+    /** Maximum queued requests per customer and entry. */
     static final int MAX_QUEUED = 256;
 
-    /** The longest that a request lasts once nothing more joins its entry's queue. */
-    static final long LEAVES_WITHIN_US = 30 * VirtualClock.US_PER_S;
+    /** Upper bound on the time to complete all requests of an entry that receives no new ones. */
+    static final long MAX_DRAIN_US = 30 * VirtualClock.US_PER_S;
 
     private static final long SAMPLE_US = 20_000;
     private static final long REPORT_US = VirtualClock.US_PER_S;
     private static final long REPORT_LAG_US = 300_000;
     private static final long WARM_UP_US = 3 * VirtualClock.US_PER_S;
     private static final long DRAIN_US = 600 * VirtualClock.US_PER_S;
-    private static final long PAUSED_US = 2_500_000;
-    private static final long DOWN_US = 2 * VirtualClock.US_PER_S;
+    private static final long PAUSE_US = 2_500_000;
+    private static final long DOWNTIME_US = 2 * VirtualClock.US_PER_S;
 
     private final BenchCase benchCase;
     private final String policy;
@@ -47,12 +47,12 @@
     private final List<Set<BenchRequest>> openByEntry = new ArrayList<>();
     private final boolean[] down;
     private boolean measuring;
-    private long answeredMeasured;
+    private long answeredWhileMeasuring;
     private double largestCostTokens;
     private long answered;
     private long refused;
     private long callersLost;
-    private long doubled;
+    private long duplicates;
 
     private BenchRun(BenchCase benchCase, String policy, Function<BenchRun, Router> policyFactory, long seed) {
         this.benchCase = benchCase;
@@ -69,12 +69,15 @@
         return new BenchRun(benchCase, policy, policyFactory, seed);
     }
 
-    /** Name of the model pool with this index, or of the plain services' pool after them. */
+    /** Returns the id of the model pool with this index; the index after the last one is the pool of plain services. */
     static PoolId poolId(int pool) {
         return PoolId.of("pool" + pool);
     }
 
-    /** Runs the warm-up, the measured seconds, and on until every request has ended. */
+    /**
+     * Runs the warm-up and the measured seconds, then continues until every request has ended or {@code DRAIN_US} has
+     * passed.
+     */
     BenchResult run(int seconds) {
         router.begin();
         callers.begin();
@@ -140,33 +143,33 @@
     /** Sends the request from its entry to the engine. */
     void dispatch(BenchRequest request, int engine) {
         clock.after(oneWayUs(request, engines.get(engine)), () -> {
-            if (!request.ended()) {
+            if (!request.hasEnded()) {
                 engines.get(engine).admit(request);
             }
         });
     }
 
-    /** Cancels the request's run; its end is reported when the engine has heard of it. */
+    /** Cancels the request's run. The end is reported to the router after the round trip to the engine. */
     void cancel(BenchRequest request, int engine) {
         long oneWayUs = oneWayUs(request, engines.get(engine));
         clock.after(oneWayUs, () -> engines.get(engine).cancel(request));
         clock.after(2 * oneWayUs, () -> router.ended(request, engine, TargetOutcome.CANCELLED, Usage.NONE));
     }
 
-    /** The caller has its whole answer. */
+    /** Records that the caller has received the complete response. */
     void complete(BenchRequest request) {
         if (!end(request)) {
             return;
         }
         answered++;
         if (measuring) {
-            answeredMeasured++;
-            waits.noteAnswered(groupOf(request), clock.nowUs() - request.arrivedUs);
+            answeredWhileMeasuring++;
+            waits.recordResponse(groupOf(request), clock.nowUs() - request.arrivedUs);
         }
         callers.answered(request);
     }
 
-    /** The caller is refused, or told of a failure. */
+    /** Records that the request was rejected or failed. */
     void fail(BenchRequest request, Failure failure) {
         if (end(request)) {
             refused++;
@@ -176,18 +179,18 @@
 
     private void arrived(BenchRequest request) {
         openByEntry.get(request.entry).add(request);
-        service.noteArrived(request, clock.nowUs());
+        service.recordArrival(request, clock.nowUs());
         router.arrived(request);
     }
 
     private boolean end(BenchRequest request) {
-        boolean waited = request.waiting();
-        if (!request.noteEnd()) {
-            doubled++;
+        boolean wasWaiting = request.isWaiting();
+        if (!request.recordEnd()) {
+            duplicates++;
             return false;
         }
-        if (waited) {
-            service.noteNotWaiting(request, clock.nowUs());
+        if (wasWaiting) {
+            service.recordNotWaiting(request, clock.nowUs());
         }
         openByEntry.get(request.entry).remove(request);
         return true;
@@ -197,7 +200,7 @@
         long endMs = WARM_UP_US / VirtualClock.US_PER_MS + seconds * 1_000L;
         long everyMs = benchCase.faultEveryMs();
         for (long atMs = everyMs; atMs > 0 && atMs < endMs; atMs += everyMs) {
-            clock.after(atMs * VirtualClock.US_PER_MS, () -> befall(router.arbiter()));
+            clock.after(atMs * VirtualClock.US_PER_MS, () -> injectFault(router.arbiter()));
         }
         if (benchCase.partitionAtMs() == 0) {
             return;
@@ -207,7 +210,7 @@
         clock.after(partitionUs + benchCase.partitionMs() * VirtualClock.US_PER_MS, router::healed);
     }
 
-    private void befall(int instance) {
+    private void injectFault(int instance) {
         switch (benchCase.fault()) {
             case KILLED -> kill(instance);
             case PAUSED -> pause(instance);
@@ -217,13 +220,13 @@
 
     private void pause(int instance) {
         router.paused(instance);
-        clock.after(PAUSED_US, () -> router.resumed(instance));
+        clock.after(PAUSE_US, () -> router.resumed(instance));
     }
 
-    /** Callers are handed other addresses at once; the requests that the instance holds are finished. */
+    /** Callers immediately use other entries; the instance completes the requests that it holds. */
     private void leave(int instance) {
         down[instance] = true;
-        router.leaving(instance, () -> clock.after(DOWN_US, () -> restart(instance)));
+        router.leaving(instance, () -> clock.after(DOWNTIME_US, () -> restart(instance)));
     }
 
     private void kill(int instance) {
@@ -235,7 +238,7 @@
             engines.all().forEach(engine -> engine.cancel(request));
             callers.entryLost(request);
         }
-        clock.after(DOWN_US, () -> restart(instance));
+        clock.after(DOWNTIME_US, () -> restart(instance));
     }
 
     private void restart(int instance) {
@@ -269,17 +272,17 @@
         waits.putInto(values);
         values.put(Measure.CONTROL_BYTES_PER_REQUEST, perRequest(control.sentBytes()));
         values.put(Measure.CONTROL_BYTES_PER_INSTANCE_S, control.meanBytes() / seconds);
-        values.put(Measure.CONTROL_BYTES_WORST_INSTANCE_S, (double) control.worstBytes() / seconds);
+        values.put(Measure.CONTROL_BYTES_WORST_INSTANCE_S, (double) control.maxBytes() / seconds);
         values.put(Measure.CONTROL_FRAMES_PER_INSTANCE_S, control.meanFrames() / seconds);
-        double boundTokens = router.boundTokens(service.mostSlotsHeld(), largestCostTokens);
+        double boundTokens = router.boundTokens(service.maxSlotsHeld(), largestCostTokens);
         values.put(Measure.BOUND_TOKENS, boundTokens);
         values.put(Measure.SMALL_WAIT_BOUND_MS, boundTokens == 0 ? 0 : smallWaitBoundMs(boundTokens));
         return values;
     }
 
     /**
-     * A customer's own requests before this one are served at its share, and the gap's bound to each other customer of
-     * the pool may have to be made good before that.
+     * The customer's own earlier requests are served at its share of the pool. In addition, each other customer of the
+     * pool may first have to be compensated up to the bound on the gap.
      */
     private double smallWaitBoundMs(double boundTokens) {
         long customers = loads().stream().filter(load -> load.pool() == 0).count();
@@ -300,67 +303,68 @@
         values.put(Measure.REFUSED_NOT_RUN, (double) refused);
         values.put(Measure.CALLERS_LOST, (double) callersLost);
         values.put(Measure.LOST, (double) lost);
-        values.put(Measure.DOUBLED, (double) doubled);
+        values.put(Measure.DOUBLED, (double) duplicates);
     }
 
     private double perRequest(long bytes) {
-        return (double) bytes / Math.max(1, answeredMeasured);
+        return (double) bytes / Math.max(1, answeredWhileMeasuring);
     }
 
-    /** Carries what happens in the engines to the meters at once, and to the entries with the network's delay. */
+    /** Passes engine events to the meters immediately and to the entries after the network delay. */
     private final class EngineListener implements VirtualEngine.Listener {
         @Override
         public void started(VirtualEngine.Run run) {
             BenchRequest request = run.request;
             long uncachedTokens = request.spec.promptTokens() - run.cachedPromptTokens();
-            if (request.waiting()) {
-                service.noteNotWaiting(request, clock.nowUs());
-                noteStart(request);
+            if (request.isWaiting()) {
+                service.recordNotWaiting(request, clock.nowUs());
+                recordStart(request);
             }
-            if (request.noteExecution() > 1 && !request.spec.repeatable()) {
-                doubled++;
+            if (request.recordExecution() > 1 && !request.spec.repeatable()) {
+                duplicates++;
             }
-            service.noteRunning(request, 1, clock.nowUs());
+            service.addRunning(request, 1, clock.nowUs());
             service.addService(request, PROMPT_TOKEN_COST * uncachedTokens);
             double costTokens = request.outputTokens + PROMPT_TOKEN_COST * request.spec.promptTokens();
             largestCostTokens = Math.max(largestCostTokens, costTokens);
         }
 
-        private void noteStart(BenchRequest request) {
+        private void recordStart(BenchRequest request) {
             if (measuring) {
-                waits.noteStart(groupOf(request), clock.nowUs() - request.arrivedUs);
+                waits.recordStart(groupOf(request), clock.nowUs() - request.arrivedUs);
             }
         }
 
         @Override
         public void progressed(VirtualEngine engine, VirtualEngine.Run run, long outputTokens) {
-            atEntry(engine, run.request, () -> router.progressed(run.request, outputTokens));
+            deliverToEntry(engine, run.request, () -> router.progressed(run.request, outputTokens));
         }
 
         @Override
         public void stopped(VirtualEngine.Run run) {
-            service.noteRunning(run.request, -1, clock.nowUs());
+            service.addRunning(run.request, -1, clock.nowUs());
             service.addService(run.request, (double) run.deliveredTokens());
         }
 
         @Override
         public void ended(VirtualEngine engine, VirtualEngine.Run run) {
             Usage usage = run.usage();
-            atEntry(engine, run.request, () -> router.ended(run.request, engine.index, TargetOutcome.COMPLETED, usage));
+            deliverToEntry(
+                    engine, run.request, () -> router.ended(run.request, engine.index, TargetOutcome.COMPLETED, usage));
         }
 
-        private void atEntry(VirtualEngine engine, BenchRequest request, Runnable what) {
+        private void deliverToEntry(VirtualEngine engine, BenchRequest request, Runnable task) {
             clock.after(oneWayUs(request, engine), () -> {
-                if (!request.ended()) {
-                    noteAnswer(request);
-                    what.run();
+                if (!request.hasEnded()) {
+                    recordResponsePart(request);
+                    task.run();
                 }
             });
         }
 
-        private void noteAnswer(BenchRequest request) {
-            if (request.noteAnswer() && measuring) {
-                waits.noteFirstToken(groupOf(request), clock.nowUs() - request.arrivedUs);
+        private void recordResponsePart(BenchRequest request) {
+            if (request.recordResponsePart() && measuring) {
+                waits.recordFirstToken(groupOf(request), clock.nowUs() - request.arrivedUs);
             }
         }
     }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchShape.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchShape.java
@@ -1,10 +1,10 @@
 package org.marjoramswitch.testkit.bench;
 
 /**
- * The size of a deployment. Instances and targets are spread over the data centres in turn.
+ * Size of a simulated deployment. Instances and targets are assigned to the data centres round-robin.
  *
- * @param pools model pools; the replicas are spread over them in turn
- * @param stepUs time of an engine's step, which gives each request in its batch one token
+ * @param pools number of model pools; the replicas are assigned to them round-robin
+ * @param stepUs duration of an engine step, which generates one token for each request in the batch
  */
 public record BenchShape(
         String name,
@@ -20,12 +20,15 @@
     static final BenchShape LEITH = new BenchShape("leith", 9, 3, 1, 6, 16, 4_000, 3, 16);
     private static final long BETWEEN_DATA_CENTRES_US = 1_500;
     private static final long INSIDE_DATA_CENTRE_US = 100;
-    private static final int THIES_REPLICAS_PER_POOL = 28;
+    private static final int MAX_REPLICAS_PER_POOL = 28;
 
-    /** As many instances at the load per instance of {@link #THIES}, with pools of at most 28 replicas. */
+    /**
+     * Scales {@link #THIES} to the number of instances at the same replicas per instance, with at most 28 replicas per
+     * pool.
+     */
     static BenchShape scaled(int instances) {
         int replicas = Math.max(1, instances * THIES.replicas / THIES.instances);
-        int pools = (replicas + THIES_REPLICAS_PER_POOL - 1) / THIES_REPLICAS_PER_POOL;
+        int pools = (replicas + MAX_REPLICAS_PER_POOL - 1) / MAX_REPLICAS_PER_POOL;
         return new BenchShape("scale" + instances, instances, 3, pools, replicas, 16, 4_000, 0, 0);
     }
 
@@ -37,7 +40,7 @@
         return index % dataCentres;
     }
 
-    /** Output tokens that all replicas deliver in a second when no slot is idle. */
+    /** Returns the output tokens per second of all replicas when no slot is idle. */
     double tokensPerS() {
         return replicas * replicaSlots * (double) VirtualClock.US_PER_S / stepUs;
     }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/Callers.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/Callers.java
@@ -6,12 +6,13 @@
 import java.util.function.IntPredicate;
 
 /**
- * The callers of all customers. A closed loop asks again through the same entry as soon as it has its answer, or when a
- * refusal tells it to; an open loop goes on as if nothing had happened. A caller whose entry is down takes the next one.
+ * Simulates the callers of all customers. A closed loop sends the next request through the same entry when it receives
+ * the response, or after the retry delay of a rejection; an open loop ignores outcomes. If its entry is down, a caller
+ * uses the next one.
  */
 final class Callers {
-    private static final long RECONNECT_US = 500_000;
-    private static final long LEAST_RETRY_MS = 100;
+    private static final long RECONNECT_DELAY_US = 500_000;
+    private static final long MIN_RETRY_MS = 100;
 
     private final List<CustomerLoad> loads;
     private final List<LoadGenerator> generators = new ArrayList<>();
@@ -19,7 +20,7 @@
     private final IntPredicate down;
     private final Consumer<BenchRequest> arrivals;
     private final int entries;
-    private boolean over;
+    private boolean ended;
     private long requests;
 
     private Callers(
@@ -63,14 +64,14 @@
                 clock.after(open, () -> arrive(load, entry));
             }
             if (customerLoad.requestsPerS() > 0) {
-                awaitArrival(load);
+                scheduleArrival(load);
             }
         }
     }
 
-    /** No request arrives from now on. */
+    /** Stops all further arrivals. */
     void end() {
-        over = true;
+        ended = true;
     }
 
     void answered(BenchRequest request) {
@@ -78,11 +79,11 @@
     }
 
     void refused(BenchRequest request, long retryAfterMs) {
-        followUp(request, Math.max(LEAST_RETRY_MS, retryAfterMs) * VirtualClock.US_PER_MS);
+        followUp(request, Math.max(MIN_RETRY_MS, retryAfterMs) * VirtualClock.US_PER_MS);
     }
 
     void entryLost(BenchRequest request) {
-        followUp(request, RECONNECT_US);
+        followUp(request, RECONNECT_DELAY_US);
     }
 
     private void followUp(BenchRequest request, long delayUs) {
@@ -91,19 +92,19 @@
         }
     }
 
-    private void awaitArrival(int load) {
+    private void scheduleArrival(int load) {
         LoadGenerator generator = generators.get(load);
         clock.after(generator.nextGapUs(), () -> {
             arrive(load, generator.nextEntry());
-            awaitArrival(load);
+            scheduleArrival(load);
         });
     }
 
-    private void arrive(int load, int wantedEntry) {
-        if (over) {
+    private void arrive(int load, int preferredEntry) {
+        if (ended) {
             return;
         }
-        int entry = wantedEntry;
+        int entry = preferredEntry;
         while (down.test(entry)) {
             entry = (entry + 1) % entries;
         }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/ControlBytes.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/ControlBytes.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import org.marjoramswitch.kernel.message.PeerMessage;
 
-/** Encoded bytes between instances since the warm-up; each instance counts what it sent and what it received. */
+/** Counts encoded bytes between instances since the warm-up, both sent and received by each instance. */
 final class ControlBytes {
     static final ControlBytes NONE = new ControlBytes(1);
 
@@ -29,7 +29,7 @@
         frames++;
     }
 
-    /** Notes the part of a frame that one message takes; the frame itself is noted by {@link #addFrame}. */
+    /** Adds the bytes of one message within a frame; {@link #addFrame} counts the frame itself. */
     void addMessage(PeerMessage message, int messageBytes) {
         bytesByType.merge(message.getClass().getSimpleName(), (long) messageBytes, Long::sum);
     }
@@ -41,17 +41,17 @@
         frames = 0;
     }
 
-    /** Each byte once, however many instances count it. */
+    /** Returns the total bytes sent, each counted once. */
     long sentBytes() {
         return sentBytes;
     }
 
-    /** Frames that the mean instance sent or received. */
+    /** Returns the mean number of frames sent or received per instance. */
     double meanFrames() {
         return 2.0 * frames / bytesByInstance.length;
     }
 
-    /** Encoded bytes by the type of message, without the frames' own. */
+    /** Returns the encoded bytes by message type, without frame overhead. */
     Map<String, Long> bytesByType() {
         return bytesByType;
     }
@@ -60,7 +60,7 @@
         return Arrays.stream(bytesByInstance).average().orElse(0);
     }
 
-    long worstBytes() {
+    long maxBytes() {
         return Arrays.stream(bytesByInstance).max().orElse(0);
     }
 }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/CustomerLoad.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/CustomerLoad.java
@@ -4,14 +4,14 @@
 import org.marjoramswitch.kernel.model.CustomerId;
 
 /**
- * What one customer asks of one pool.
+ * Load of one customer on one pool.
  *
  * @param pool index of the pool; the plain services' pool comes after the model pools
- * @param entries the instances that its callers use, each as often as it stands here
- * @param outstanding requests it always has open (closed loop), 0 for an open loop
- * @param requestsPerS rate of arrivals of an open loop
- * @param meanTokens mean of the output, in tokens; the median is three quarters of it
- * @param group whose waits are measured together
+ * @param entries instances that the callers use, with repetition as weight
+ * @param outstanding constant number of open requests of a closed loop; 0 for an open loop
+ * @param requestsPerS arrival rate of an open loop
+ * @param meanTokens mean output length in tokens; the median is three quarters of the mean
+ * @param group group of customers whose wait times are measured together
  */
 record CustomerLoad(
         CustomerId customer,
@@ -35,7 +35,7 @@
         return new CustomerLoad(customer, pool, entries, outstanding, requestsPerS, tokens, group);
     }
 
-    /** The kinds of customers. */
+    /** Group of customers. */
     enum Group {
         SMALL,
         LARGE,
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/DecisionCost.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/DecisionCost.java
@@ -28,8 +28,9 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * What decisions cost in processor time and allocation, and how that grows with the fleet: the slopes behind
- * docs/CAPACITY.md. Times are of this machine and are reported, never asserted; allocation is the steadier figure.
+ * Benchmark of the processor time and allocation of decisions, and of their growth with the fleet size, on which
+ * docs/CAPACITY.md is based. Times depend on the machine and are only reported, never asserted; allocation varies
+ * less.
  */
 public final class DecisionCost {
     private static final int WARM_UP_ROUNDS = 3_000;
@@ -52,7 +53,7 @@
         return new DecisionCost(out);
     }
 
-    /** Prints a line for each role and size. */
+    /** Runs the benchmark and prints a line for each role and size. */
     public void run() {
         for (int backlogged : new int[] {2, 16, 150}) {
             arbiterRound(backlogged);
@@ -71,7 +72,7 @@
         placement(600, 12, 200, 4_500);
     }
 
-    /** All that a request costs the arbiter that places it, at about what the pool carries and above. */
+    /** Total cost of a request to the arbiter that places it, at loads around and above the pool's capacity. */
     private void placement(int targets, int slots, int customers, int perSecond) {
         PlacementCost.Result cost = PlacementCost.measure(targets, slots, customers, perSecond);
         out.printf(
@@ -80,7 +81,7 @@
                 targets, slots, customers, perSecond, cost.requestUs(), cost.longestUs());
     }
 
-    /** One grant, its end, and the top-up of the offer: all that a request costs its arbiter. */
+    /** One grant, its end and the renewed demand, which is the total cost of a request to its arbiter. */
     private void arbiterRound(int backlogged) {
         InstanceKernel kernel = kernel(1, CELL_TARGETS, 1, backlogged);
         InstanceId entry = InstanceId.of("entry-1");
@@ -104,7 +105,7 @@
         });
     }
 
-    /** One request from arrival to end at its entry, granted by another instance. */
+    /** One request at its entry from arrival to end, granted by another instance. */
     private void entryRound(int customers) {
         InstanceKernel kernel = kernel(1, CELL_TARGETS, 2, customers);
         InstanceId arbiter = InstanceId.of("entry-1");
@@ -124,17 +125,17 @@
         });
     }
 
-    /** A member goes or comes: the arbiters of all cells are named again. */
+    /** A member leaves or joins, so that the arbiters of all cells are reassigned. */
     private void viewChange(int instances) {
         InstanceKernel kernel = fleetKernel(instances);
-        FleetView whole = view(instances, 0);
-        FleetView less = view(instances, 1);
+        FleetView fullView = view(instances, 0);
+        FleetView reducedView = view(instances, 1);
         measure(
                 "view_change",
                 "instances",
                 instances,
                 200,
-                round -> kernel.apply(new Event.ViewChanged(round % 2 == 0 ? less : whole), round));
+                round -> kernel.apply(new Event.ViewChanged(round % 2 == 0 ? reducedView : fullView), round));
     }
 
     private void idleTick(int instances) {
@@ -183,7 +184,7 @@
         return kernel;
     }
 
-    /** The two-year size scaled down to {@code instances}: 640 replicas in 23 pools before 350 instances. */
+    /** The size expected in two years, 350 instances with 640 replicas in 23 pools, scaled to {@code instances}. */
     private static InstanceKernel fleetKernel(int instances) {
         int pools = Math.max(1, 23 * instances / 350);
         return kernel(pools, 640 * instances / 350, instances, 1_500 * instances / 350);
@@ -208,9 +209,9 @@
         return FleetSettings.of(1, customerSettings, poolSettings, targetSettings);
     }
 
-    private static FleetView view(int instances, int missing) {
+    private static FleetView view(int instances, int absent) {
         List<Member> members = new ArrayList<>();
-        for (int i = 0; i < instances - missing; i++) {
+        for (int i = 0; i < instances - absent; i++) {
             members.add(member(i));
         }
         return FleetView.of(members);
@@ -232,7 +233,7 @@
         return TargetId.of("target-" + index);
     }
 
-    /** One measured round. */
+    /** A measured round. */
     @FunctionalInterface
     private interface Round {
         void run(int number);
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/FleetRouter.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/FleetRouter.java
@@ -30,18 +30,18 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * The fleet's own policy: a real {@link InstanceKernel} per instance, joined by {@link VirtualPeerLinks}. The membership's part
- * is played by fixed times: a dead or unreachable instance leaves the views after {@code DETECTED_US}, one that is back
- * joins them after {@code JOINED_US}.
+ * The fleet's own policy: one real {@link InstanceKernel} per instance, connected by {@link VirtualPeerLinks}. Fixed
+ * delays replace the membership protocol: a dead or unreachable instance is removed from all views after
+ * {@code DETECTION_US}, and a restarted or reachable one is added after {@code JOIN_US}.
  */
 final class FleetRouter implements Router {
     static final String POLICY = "fleet";
     private static final double MS_PER_S = 1_000;
     private static final long TICK_US = 10_000;
-    private static final long DETECTED_US = VirtualClock.US_PER_S;
-    private static final long JOINED_US = 300_000;
-    /** Until every view shows that an instance is leaving. */
-    private static final long SPREAD_US = 300_000;
+    private static final long DETECTION_US = VirtualClock.US_PER_S;
+    private static final long JOIN_US = 300_000;
+    /** Delay until every view shows that an instance is draining. */
+    private static final long VIEW_PROPAGATION_US = 300_000;
 
     private final BenchRun run;
     private final KernelOptions options;
@@ -50,7 +50,7 @@
     private final boolean[] down;
     private final boolean[] paused;
     private final List<List<Event>> deferred = new ArrayList<>();
-    private final Map<Integer, Runnable> whenDrained = new HashMap<>();
+    private final Map<Integer, Runnable> drainCallbacks = new HashMap<>();
     private final Map<Long, BenchRequest> requests = new HashMap<>();
     private final VirtualPeerLinks links;
     private final FleetSettings settings;
@@ -92,7 +92,7 @@
 
     private void start(int instance) {
         apply(instance, new Event.SettingsAccepted(settings));
-        tellView(instance);
+        sendView(instance);
         long incarnation = incarnations[instance];
         tick(instance, incarnation);
     }
@@ -143,50 +143,52 @@
     @Override
     public int arbiter() {
         return IntStream.range(0, kernels.size())
-                .filter(instance -> !down[instance] && !paused[instance] && !whenDrained.containsKey(instance))
-                .filter(this::grantsModels)
+                .filter(instance -> !down[instance] && !paused[instance] && !drainCallbacks.containsKey(instance))
+                .filter(this::arbitratesModelPool)
                 .findFirst()
                 .orElse(0);
     }
 
-    private boolean grantsModels(int instance) {
+    private boolean arbitratesModelPool(int instance) {
         return kernels.get(instance).arbitratedCells().stream()
                 .anyMatch(cell -> cell.pool().equals(BenchRun.poolId(0)));
     }
 
-    /** Its messages and its callers' events wait until it goes on; the others take it for dead meanwhile. */
+    /**
+     * Messages and caller events of the instance are deferred until it resumes; the others consider it dead meanwhile.
+     */
     @Override
     public void paused(int instance) {
         paused[instance] = true;
-        run.clock().after(DETECTED_US, () -> setSeenByAll(instance, false));
+        run.clock().after(DETECTION_US, () -> setSeenByAll(instance, false));
     }
 
     @Override
     public void resumed(int instance) {
         paused[instance] = false;
-        List<Event> missed = List.copyOf(deferred.get(instance));
+        List<Event> deferredEvents = List.copyOf(deferred.get(instance));
         deferred.get(instance).clear();
-        missed.forEach(event -> apply(instance, event));
-        run.clock().after(JOINED_US, () -> setSeenByAll(instance, true));
+        deferredEvents.forEach(event -> apply(instance, event));
+        run.clock().after(JOIN_US, () -> setSeenByAll(instance, true));
     }
 
     @Override
-    public void leaving(int instance, Runnable gone) {
-        whenDrained.put(instance, gone);
+    public void leaving(int instance, Runnable onDrained) {
+        drainCallbacks.put(instance, onDrained);
         apply(instance, new Event.DrainStarted());
-        run.clock().after(SPREAD_US, this::tellViews);
+        run.clock().after(VIEW_PROPAGATION_US, this::sendViews);
     }
 
     private void drained(int instance) {
-        Runnable gone = whenDrained.remove(instance);
-        if (gone != null) {
+        Runnable onDrained = drainCallbacks.remove(instance);
+        if (onDrained != null) {
             killed(instance);
-            gone.run();
+            onDrained.run();
         }
     }
 
-    private void tellViews() {
-        IntStream.range(0, down.length).filter(instance -> !down[instance]).forEach(this::tellView);
+    private void sendViews() {
+        IntStream.range(0, down.length).filter(instance -> !down[instance]).forEach(this::sendView);
     }
 
     @Override
@@ -194,7 +196,7 @@
         down[instance] = true;
         requests.values().removeIf(request -> request.entry == instance);
         links.killed(instance);
-        run.clock().after(DETECTED_US, () -> setSeenByAll(instance, false));
+        run.clock().after(DETECTION_US, () -> setSeenByAll(instance, false));
     }
 
     @Override
@@ -206,14 +208,14 @@
             seen[instance][other] = !down[other];
         }
         start(instance);
-        run.clock().after(JOINED_US, () -> setSeenByAll(instance, true));
+        run.clock().after(JOIN_US, () -> setSeenByAll(instance, true));
     }
 
     private void setSeenByAll(int instance, boolean isSeen) {
         for (int other = 0; other < down.length; other++) {
             if (other != instance && !down[other]) {
                 seen[other][instance] = isSeen;
-                tellView(other);
+                sendView(other);
             }
         }
     }
@@ -221,13 +223,13 @@
     @Override
     public void partitioned(int firstOfOthers) {
         links.partitioned(firstOfOthers);
-        run.clock().after(DETECTED_US, () -> setHalvesSeen(firstOfOthers, false));
+        run.clock().after(DETECTION_US, () -> setHalvesSeen(firstOfOthers, false));
     }
 
     @Override
     public void healed() {
         links.healed();
-        run.clock().after(JOINED_US, () -> setHalvesSeen(run.shape().instances() / 2, true));
+        run.clock().after(JOIN_US, () -> setHalvesSeen(run.shape().instances() / 2, true));
     }
 
     private void setHalvesSeen(int firstOfOthers, boolean isSeen) {
@@ -238,7 +240,7 @@
                 }
             }
             if (!down[instance]) {
-                tellView(instance);
+                sendView(instance);
             }
         }
     }
@@ -248,17 +250,18 @@
         return links.bytes();
     }
 
-    /** As {@link org.marjoramswitch.kernel.fair.FairShares} states it. */
+    /** Computes the bound given by {@link org.marjoramswitch.kernel.fair.FairShares}. */
     @Override
     public double boundTokens(int slotsHeld, double largestCostTokens) {
-        boolean severalCells = run.benchCase().cellTargets() < run.engines().ofPool(0).length;
-        double chargedUnseen = run.shape().tokensPerS() / run.shape().pools() * options.chargesIntervalMs() / MS_PER_S;
-        double atOneArbiter =
+        boolean hasSeveralCells = run.benchCase().cellTargets() < run.engines().ofPool(0).length;
+        double unreportedTokens =
+                run.shape().tokensPerS() / run.shape().pools() * options.chargesIntervalMs() / MS_PER_S;
+        double singleArbiterBound =
                 FairShares.gapBoundTokens(slotsHeld, largestCostTokens, PoolSettings.DEFAULT_INITIAL_ESTIMATE_TOKENS);
-        return atOneArbiter + (severalCells ? chargedUnseen : 0);
+        return singleArbiterBound + (hasSeveralCells ? unreportedTokens : 0);
     }
 
-    private void tellView(int instance) {
+    private void sendView(int instance) {
         List<Member> members = IntStream.range(0, down.length)
                 .filter(other -> seen[instance][other])
                 .mapToObj(this::member)
@@ -282,32 +285,33 @@
         } else if (action instanceof Action.CancelAttempt cancel) {
             run.cancel(request(cancel.requestId()), engineIndex(cancel.target()));
         } else if (action instanceof Action.Complete complete) {
-            run.complete(forget(complete.requestId()));
+            run.complete(remove(complete.requestId()));
         } else if (action instanceof Action.Fail fail) {
-            run.fail(forget(fail.requestId()), fail.failure());
+            run.fail(remove(fail.requestId()), fail.failure());
         } else if (action instanceof Action.Drained) {
             drained(instance);
         }
     }
 
     private BenchRequest request(long requestId) {
-        return known(requests.get(requestId), requestId);
+        return requireKnown(requests.get(requestId), requestId);
     }
 
-    private BenchRequest forget(long requestId) {
-        return known(requests.remove(requestId), requestId);
+    private BenchRequest remove(long requestId) {
+        return requireKnown(requests.remove(requestId), requestId);
     }
 
-    private static BenchRequest known(@Nullable BenchRequest request, long requestId) {
+    private static BenchRequest requireKnown(@Nullable BenchRequest request, long requestId) {
         if (request == null) {
-            throw new IllegalStateException("an action for a request that is over or was never there: " + requestId);
+            throw new IllegalStateException("action for an unknown or ended request: " + requestId);
         }
         return request;
     }
 
     private Member member(int instance) {
         DataCentreId dataCentre = DataCentreId.of("dc" + run.shape().dataCentreOf(instance));
-        return Member.of(instanceId(instance), incarnations[instance], dataCentre, whenDrained.containsKey(instance));
+        return Member.of(
+                instanceId(instance), incarnations[instance], dataCentre, drainCallbacks.containsKey(instance));
     }
 
     private static InstanceId instanceId(int instance) {
@@ -363,7 +367,7 @@
                 true);
     }
 
-    /** Carries what the links bring into the kernels. */
+    /** Passes received messages and link changes to the kernels. */
     private final class LinkListener implements VirtualPeerLinks.Listener {
         @Override
         public void received(int instance, int from, PeerMessage message) {
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/IndependentRouter.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/IndependentRouter.java
@@ -10,9 +10,10 @@
 import org.marjoramswitch.kernel.model.Usage;
 
 /**
- * Fair queues that know nothing of each other: each entry keeps virtual token counters of its own (least first, charged
- * with the prompt at the start and the output as it comes, lifted on return to backlog) and sends to the target with the
- * fewest of its own requests in flight, never more than the target's slots.
+ * Policy with an independent fair queue per entry. Each entry maintains its own virtual token counters: the customer
+ * with the least counter is served first, the prompt is charged at the start and the output as it is generated, and a
+ * counter is lifted when its customer becomes backlogged again. A request is sent to the target with the fewest
+ * in-flight requests of this entry, up to the target's slots.
  */
 final class IndependentRouter implements Router {
     private final BenchRun run;
@@ -64,10 +65,10 @@
         return 0;
     }
 
-    /** Its callers have gone elsewhere; nothing here waits for the end, so it comes after a generous time. */
+    /** The callers already use other entries. Completion is not tracked, so the callback runs after an upper bound. */
     @Override
-    public void leaving(int instance, Runnable gone) {
-        run.clock().after(BenchRun.LEAVES_WITHIN_US, gone);
+    public void leaving(int instance, Runnable onDrained) {
+        run.clock().after(BenchRun.MAX_DRAIN_US, onDrained);
     }
 
     @Override
@@ -87,12 +88,12 @@
 
         private void enqueue(BenchRequest request) {
             if (queues.get(request.load).isEmpty()) {
-                lift(request.load);
+                liftCounter(request.load);
             }
             queues.get(request.load).add(request);
         }
 
-        private void lift(int load) {
+        private void liftCounter(int load) {
             int least = leastServed(run.loads().get(load).pool());
             if (least >= 0) {
                 counterTokens[load] = Math.max(counterTokens[load], counterTokens[least]);
@@ -102,9 +103,9 @@
         private int leastServed(int pool) {
             int least = -1;
             for (int load = 0; load < counterTokens.length; load++) {
-                boolean waits = run.loads().get(load).pool() == pool
+                boolean isWaiting = run.loads().get(load).pool() == pool
                         && !queues.get(load).isEmpty();
-                if (waits && (least < 0 || counterTokens[load] < counterTokens[least])) {
+                if (isWaiting && (least < 0 || counterTokens[load] < counterTokens[least])) {
                     least = load;
                 }
             }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/LoadGenerator.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/LoadGenerator.java
@@ -4,11 +4,12 @@
 import org.marjoramswitch.kernel.model.RequestSpec;
 
 /**
- * Draws the requests of one customer's load from a fixed seed: outputs and prompts log-normal, unknown to the routers; a
- * hint wrong by up to four times either way, or none; few urgent requests.
+ * Generates the requests of one customer's load from a fixed seed. Output and prompt lengths are log-normal; routers do
+ * not know the output length. A hint, if given, is wrong by a factor of up to four in either direction. A tenth of the
+ * requests is urgent.
  */
 final class LoadGenerator {
-    /** With this deviation the median is three quarters of the mean. */
+    /** Standard deviation of the logarithm for which the median is three quarters of the mean. */
     private static final double SIGMA = Math.sqrt(2 * Math.log(4.0 / 3.0));
 
     private static final double MEAN_PROMPT_TOKENS = 200;
@@ -34,7 +35,7 @@
         return new LoadGenerator(load, index, seed);
     }
 
-    /** Time to the next arrival of an open loop, exponential. */
+    /** Returns the exponentially distributed time to the next arrival of an open loop. */
     long nextGapUs() {
         return (long) (-Math.log(1 - random.nextDouble()) / load.requestsPerS() * VirtualClock.US_PER_S);
     }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/Measure.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/Measure.java
@@ -2,65 +2,68 @@
 
 import java.util.Locale;
 
-/** What the bench measures of one policy in one case; the order is that of a line's fields. */
+/** Measures of one policy in one case, in the order of the fields of a result line. */
 public enum Measure {
     /** See {@link ServiceMeter}. */
-    FAIRNESS_GAP_TOKENS(0, Worst.HIGHEST),
-    /** The bound on the gap that the policy states; 0 where it states none. */
-    BOUND_TOKENS(0, Worst.HIGHEST),
-    /** Busy slot time over slot time while work waits. */
-    UTILISATION(4, Worst.LOWEST),
-    /** Encoded bytes between instances, each counted once, over the answered requests. */
-    CONTROL_BYTES_PER_REQUEST(1, Worst.HIGHEST),
-    /** Sent and received, of the mean instance. */
-    CONTROL_BYTES_PER_INSTANCE_S(0, Worst.HIGHEST),
-    /** Sent and received, of the instance that has most. */
-    CONTROL_BYTES_WORST_INSTANCE_S(0, Worst.HIGHEST),
-    /** Frames sent and received by the mean instance; each costs headers of TCP and IP besides. */
-    CONTROL_FRAMES_PER_INSTANCE_S(0, Worst.HIGHEST),
-    /** From the arrival at the entry to the first token there, model pools. */
-    TTFT_P95_MS(1, Worst.HIGHEST),
-    /** Share of the time in which work waited. */
-    WORK_WAITS_SHARE(3, Worst.LOWEST),
-    /** From a small customer's request's arrival until a target began it. */
-    SMALL_WAIT_P95_MS(1, Worst.HIGHEST),
-    SMALL_WAIT_MAX_MS(1, Worst.HIGHEST),
-    /** The bound on that wait that follows from the bound on the gap; 0 where the policy states none. */
-    SMALL_WAIT_BOUND_MS(0, Worst.HIGHEST),
-    /** Of all customers but a flooding one. */
-    OTHERS_TTFT_P95_MS(1, Worst.HIGHEST),
-    /** Of the whole answer. */
-    OTHERS_TOTAL_P95_MS(1, Worst.HIGHEST),
-    /** The two before over the same without the flood; 0 where the case has none. */
-    OTHERS_TTFT_RATIO(2, Worst.HIGHEST),
-    OTHERS_TOTAL_RATIO(2, Worst.HIGHEST),
-    /** Of the whole run, as the counts that follow. */
-    REQUESTS(0, Worst.SUM),
-    ANSWERED(0, Worst.SUM),
-    REFUSED_NOT_RUN(0, Worst.SUM),
+    FAIRNESS_GAP_TOKENS(0, Aggregation.HIGHEST),
+    /** Bound on the gap that the policy guarantees; 0 if it guarantees none. */
+    BOUND_TOKENS(0, Aggregation.HIGHEST),
+    /** Ratio of busy slot time to slot time while requests are waiting. */
+    UTILISATION(4, Aggregation.LOWEST),
+    /** Encoded bytes between instances, each counted once, per answered request. */
+    CONTROL_BYTES_PER_REQUEST(1, Aggregation.HIGHEST),
+    /** Bytes sent and received per second, mean over the instances. */
+    CONTROL_BYTES_PER_INSTANCE_S(0, Aggregation.HIGHEST),
+    /** Bytes sent and received per second, of the instance with the most. */
+    CONTROL_BYTES_WORST_INSTANCE_S(0, Aggregation.HIGHEST),
+    /**
+     * Frames sent and received per second, mean over the instances. TCP and IP headers of the frames are not included.
+     */
+    CONTROL_FRAMES_PER_INSTANCE_S(0, Aggregation.HIGHEST),
+    /** Time from the arrival at the entry to the first token there; model pools only. */
+    TTFT_P95_MS(1, Aggregation.HIGHEST),
+    /** Fraction of the time in which requests were waiting. */
+    WORK_WAITS_SHARE(3, Aggregation.LOWEST),
+    /** Time from the arrival of a small customer's request until a target starts it. */
+    SMALL_WAIT_P95_MS(1, Aggregation.HIGHEST),
+    SMALL_WAIT_MAX_MS(1, Aggregation.HIGHEST),
+    /** Bound on the wait of small customers, derived from the bound on the gap; 0 if the policy guarantees none. */
+    SMALL_WAIT_BOUND_MS(0, Aggregation.HIGHEST),
+    /** Time to first token of all customers except a flooding one. */
+    OTHERS_TTFT_P95_MS(1, Aggregation.HIGHEST),
+    /** Time to the complete response of all customers except a flooding one. */
+    OTHERS_TOTAL_P95_MS(1, Aggregation.HIGHEST),
+    /** Ratio of OTHERS_TTFT_P95_MS to its value without the flood; 0 if the case has no flood. */
+    OTHERS_TTFT_RATIO(2, Aggregation.HIGHEST),
+    /** Ratio of OTHERS_TOTAL_P95_MS to its value without the flood; 0 if the case has no flood. */
+    OTHERS_TOTAL_RATIO(2, Aggregation.HIGHEST),
+    /** Requests in the complete run; the counts that follow also cover the complete run. */
+    REQUESTS(0, Aggregation.SUM),
+    ANSWERED(0, Aggregation.SUM),
+    REFUSED_NOT_RUN(0, Aggregation.SUM),
     /** Requests whose own entry was killed. */
-    CALLERS_LOST(0, Worst.SUM),
-    /** Requests without an end though their entry lived. */
-    LOST(0, Worst.SUM),
-    /** Requests that ended twice, or that targets began twice though they were not repeatable. */
-    DOUBLED(0, Worst.SUM);
+    CALLERS_LOST(0, Aggregation.SUM),
+    /** Requests that never ended although their entry was not killed. */
+    LOST(0, Aggregation.SUM),
+    /** Requests that ended more than once, or were started more than once although not repeatable. */
+    DOUBLED(0, Aggregation.SUM);
 
     private final int decimals;
-    private final Worst overSeeds;
+    private final Aggregation aggregation;
 
-    Measure(int decimals, Worst overSeeds) {
+    Measure(int decimals, Aggregation aggregation) {
         this.decimals = decimals;
-        this.overSeeds = overSeeds;
+        this.aggregation = aggregation;
     }
 
-    /** The field's name on a line. */
+    /** Returns the name of the field in a result line. */
     public String key() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** The worst of two seeds' values; counts are added up. */
+    /** Returns the worse of two seeds' values, or the sum for counts. */
     double merge(double one, double other) {
-        return switch (overSeeds) {
+        return switch (aggregation) {
             case HIGHEST -> Math.max(one, other);
             case LOWEST -> Math.min(one, other);
             case SUM -> one + other;
@@ -71,7 +74,7 @@
         return String.format(Locale.ROOT, "%." + decimals + "f", value);
     }
 
-    private enum Worst {
+    private enum Aggregation {
         HIGHEST,
         LOWEST,
         SUM
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/PlacementCost.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/PlacementCost.java
@@ -26,9 +26,9 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * What the arbiter of placed requests costs its instance for each request, from the question to the end, and its longest
- * decision: the real kernel in virtual time before engines that take a fixed time for a token. All requests come from one
- * other entry. Refused ones do not come back.
+ * Benchmark of the processor time that the arbiter of placed requests spends per request, from the placement request to
+ * the end, and of its longest decision. Runs the real kernel in virtual time with engines that take a fixed time per
+ * token. All requests come from one other entry. Rejected requests are not retried.
  */
 final class PlacementCost {
     private static final InstanceId ENTRY = InstanceId.of("entry-1");
@@ -37,11 +37,11 @@
     private static final long MEASURED_MS = 4_000;
     private static final long TICK_MS = 10;
     private static final double FIRST_BYTE_MS = 26;
-    private static final double READ_TOKENS_PER_MS = 157;
+    private static final double PREFILL_TOKENS_PER_MS = 157;
     private static final double TOKEN_MS = 4.3;
     private static final int OUTPUT_TOKENS = 180;
     private static final int SESSIONS = 1_000;
-    private static final int FIRST_PARTS = 10;
+    private static final int SHARED_FIRST_PARTS = 10;
     private static final EngineMemory MEMORY = EngineMemory.fetching(600_000, 0.0004);
     private static final double NS_PER_US = 1_000;
 
@@ -54,7 +54,7 @@
     private final CellId cell;
     private final int customers;
     private long order;
-    private long lastAsk;
+    private long lastPlacementId;
 
     private PlacementCost(int targets, int slots, int customers) {
         this.customers = customers;
@@ -69,7 +69,7 @@
         this.cell = kernel.cells().get(0);
     }
 
-    /** @param perSecond requests asked for */
+    /** @param perSecond placement requests per second */
     static Result measure(int targets, int slots, int customers, int perSecond) {
         PlacementCost cost = new PlacementCost(targets, slots, customers);
         cost.load(perSecond);
@@ -78,10 +78,10 @@
     }
 
     /**
-     * Of the processor of the arbiter's instance.
+     * Processor time on the arbiter's instance.
      *
-     * @param requestUs all decisions of a request
-     * @param longestUs the longest single one
+     * @param requestUs time of all decisions, per request
+     * @param longestUs time of the longest single decision
      */
     record Result(double requestUs, double longestUs) {}
 
@@ -90,35 +90,43 @@
     private void load(int perSecond) {
         long count = perSecond * (WARM_UP_MS + MEASURED_MS) / 1_000;
         for (long i = 0; i < count; i++) {
-            at(i * 1_000.0 / perSecond, received(ask()));
+            at(i * 1_000.0 / perSecond, received(placementRequest()));
         }
         for (long tickMs = TICK_MS; tickMs < WARM_UP_MS + MEASURED_MS; tickMs += TICK_MS) {
             at(tickMs, new Event.Tick());
         }
     }
 
-    private PeerMessage ask() {
-        long ask = ++lastAsk;
+    private PeerMessage placementRequest() {
+        long placementId = ++lastPlacementId;
         int session = random.nextInt(SESSIONS);
         int ownTokens = 200 + random.nextInt(4_000);
         List<PromptPart> prompt = List.of(
-                PromptPart.of(1 + session % FIRST_PARTS, 400),
+                PromptPart.of(1 + session % SHARED_FIRST_PARTS, 400),
                 PromptPart.of(1_000 + session, 1_500),
-                PromptPart.of(1_000_000 + ask, ownTokens));
-        promptTokens.put(ask, (long) ownTokens);
-        // Every tenth customer asks for as much as all others together.
+                PromptPart.of(1_000_000 + placementId, ownTokens));
+        promptTokens.put(placementId, (long) ownTokens);
+        // Half of the requests come from the first tenth of the customers, the others from all customers.
         int customer = random.nextBoolean() ? random.nextInt(customers) : random.nextInt(Math.max(1, customers / 10));
         return new PeerMessage.Place(
-                cell, ask, CustomerId.of("customer-" + customer), 1, prompt, OUTPUT_TOKENS, 400, 10_000, List.of());
+                cell,
+                placementId,
+                CustomerId.of("customer-" + customer),
+                1,
+                prompt,
+                OUTPUT_TOKENS,
+                400,
+                10_000,
+                List.of());
     }
 
     private Result run(long untilMs) {
-        long asked = 0;
+        long requests = 0;
         long spentNs = 0;
         long longestNs = 0;
         while (!due.isEmpty() && due.peek().atMs() < untilMs) {
             Due next = due.poll();
-            asked += isAsk(next.event()) ? 1 : 0;
+            requests += isPlacementRequest(next.event()) ? 1 : 0;
             long startedNs = System.nanoTime();
             List<Action> actions = kernel.apply(next.event(), Math.round(next.atMs()));
             long tookNs = System.nanoTime() - startedNs;
@@ -126,10 +134,10 @@
             longestNs = Math.max(longestNs, tookNs);
             placements(actions).forEach(placed -> start(placed, next.atMs()));
         }
-        return new Result(spentNs / NS_PER_US / Math.max(1, asked), longestNs / NS_PER_US);
+        return new Result(spentNs / NS_PER_US / Math.max(1, requests), longestNs / NS_PER_US);
     }
 
-    private static boolean isAsk(Event event) {
+    private static boolean isPlacementRequest(Event event) {
         return event instanceof Event.PeerReceived received && received.message() instanceof PeerMessage.Place;
     }
 
@@ -144,7 +152,7 @@
     }
 
     private void start(PeerMessage.Placed placed, double nowMs) {
-        double firstMs = nowMs + FIRST_BYTE_MS + promptTokens.getOrDefault(placed.ask(), 0L) / READ_TOKENS_PER_MS;
+        double firstMs = nowMs + FIRST_BYTE_MS + promptTokens.getOrDefault(placed.ask(), 0L) / PREFILL_TOKENS_PER_MS;
         at(firstMs, received(new PeerMessage.PlacementAnswering(cell, placed.ask())));
         PeerMessage ended = new PeerMessage.PlacementEnded(cell, placed.ask(), OUTPUT_TOKENS, PlacementEnd.SERVED);
         at(firstMs + TOKEN_MS * OUTPUT_TOKENS, received(ended));
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/RoundRobinRouter.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/RoundRobinRouter.java
@@ -3,7 +3,7 @@
 import org.marjoramswitch.kernel.model.TargetOutcome;
 import org.marjoramswitch.kernel.model.Usage;
 
-/** No queue at all: each entry sends every request on at once, to the pool's targets in turn. */
+/** Policy without queues: each entry forwards every request immediately to the pool's targets in round-robin order. */
 final class RoundRobinRouter implements Router {
     private final BenchRun run;
     private final int[] nextByEntry;
@@ -33,10 +33,10 @@
         return 0;
     }
 
-    /** Its callers have gone elsewhere; nothing here waits for the end, so it comes after a generous time. */
+    /** The callers already use other entries. Completion is not tracked, so the callback runs after an upper bound. */
     @Override
-    public void leaving(int instance, Runnable gone) {
-        run.clock().after(BenchRun.LEAVES_WITHIN_US, gone);
+    public void leaving(int instance, Runnable onDrained) {
+        run.clock().after(BenchRun.MAX_DRAIN_US, onDrained);
     }
 
     @Override
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/Router.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/Router.java
@@ -4,7 +4,7 @@
 import org.marjoramswitch.kernel.model.TargetOutcome;
 import org.marjoramswitch.kernel.model.Usage;
 
-/** A policy under the bench: hears what reaches the entries and answers through {@link BenchRun}. */
+/** A benchmarked policy. Receives the events at the entries and acts through {@link BenchRun}. */
 interface Router {
     default void begin() {}
 
@@ -14,46 +14,46 @@
 
     void ended(BenchRequest request, int engine, TargetOutcome outcome, Usage usage);
 
-    /** Whether the instance reads the target's load reports now. */
+    /** Returns whether the instance currently reads the target's load reports. */
     default boolean readsReports(int instance, int engine) {
         return false;
     }
 
-    /** A lagging report of a target's load reached this instance. */
+    /** Delivers a delayed load report of a target to the instance. */
     default void reported(int instance, int engine, LoadReport report) {}
 
-    /** The instance to kill where a case says "the arbiter"; any where there is none. */
+    /** Returns the instance into which a case injects an arbiter fault; any instance if there is no arbiter. */
     int arbiter();
 
-    /** The instance dies now with all it held. */
+    /** The instance crashes and loses all state. */
     void killed(int instance);
 
-    /** The instance is back, empty. */
+    /** The instance has restarted without state. */
     default void restarted(int instance) {}
 
-    /** The instance stands still until {@link #resumed}. */
+    /** The instance is suspended until {@link #resumed}. */
     default void paused(int instance) {}
 
     default void resumed(int instance) {}
 
-    /** The instance begins its graceful shutdown; {@code gone} is run when it holds nothing any more. */
-    void leaving(int instance, Runnable gone);
+    /** The instance starts its graceful shutdown; {@code onDrained} runs when it holds no requests. */
+    void leaving(int instance, Runnable onDrained);
 
-    /** Instances below {@code firstOfOthers} and the others cannot reach each other from now on. */
+    /** Partitions the instances below {@code firstOfOthers} from the others. */
     default void partitioned(int firstOfOthers) {}
 
     default void healed() {}
 
-    /** Encoded bytes sent and received between instances. */
+    /** Returns the counts of encoded bytes between instances. */
     default ControlBytes controlBytes() {
         return ControlBytes.NONE;
     }
 
     /**
-     * The bound on the fairness gap that the policy states, 0 for none.
+     * Returns the bound on the fairness gap that the policy guarantees, or 0 if it guarantees none.
      *
-     * @param slotsHeld the most slots that one backlogged customer held at once
-     * @param largestCostTokens the cost of the largest request
+     * @param slotsHeld maximum number of slots that one backlogged customer held concurrently
+     * @param largestCostTokens cost of the most expensive request
      */
     default double boundTokens(int slotsHeld, double largestCostTokens) {
         return 0;
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/ServiceMeter.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/ServiceMeter.java
@@ -6,24 +6,24 @@
 import java.util.Map;
 
 /**
- * Measures service and utilisation.
+ * Measures fairness of service and utilisation.
  *
  * <p>The fairness gap is the largest difference in delivered weighted tokens between two customers of a pool over any
- * window throughout which both were backlogged. With {@code D} the running difference since both began to wait,
- * the difference over a window is {@code D(end) - D(begin)}, so the largest over all windows is the range of {@code D}:
- * its highest value less its lowest. Both are kept per pair and sampled. Backlogged is a customer whose oldest waiting
- * request has waited for {@code BACKLOGGED_AFTER_US}: the way of a grant and a target's queue make every request wait
- * some tens of milliseconds, also those of a customer that asks for little and gets it all.
+ * window throughout which both are backlogged. If {@code D} is the running difference since both became backlogged, the
+ * difference over a window is {@code D(end) - D(begin)}, so the maximum over all windows is the range of {@code D}, its
+ * maximum minus its minimum. Both are tracked per pair and sampled. A customer is backlogged if its oldest waiting
+ * request has waited for {@code BACKLOGGED_AFTER_US}. The threshold is needed because the latency of a grant and the
+ * queue of a target delay every request by some tens of milliseconds, even if the customer's demand is fully served.
  *
- * <p>Utilisation while work waits is busy slot time over slot time, taken over the moments at which a request of the
- * pool has arrived and no target has begun it, wherever it waits: at an entry, on the way, or in an engine's queue.
+ * <p>Utilisation is the ratio of busy slot time to slot time, taken over the periods in which a request of the pool has
+ * arrived but has not been started by a target, whether it is at an entry, in transit or in an engine's queue.
  */
 final class ServiceMeter {
     private static final long BACKLOGGED_AFTER_US = 250_000;
 
     private final List<CustomerLoad> loads;
     private final double[] settledTokens;
-    /** Requests in the order of arrival; those that no longer wait are dropped when they come to the front. */
+    /** Requests in order of arrival; those that no longer wait are removed when they reach the head of the queue. */
     private final List<ArrayDeque<BenchRequest>> waiting = new ArrayList<>();
 
     private final int[] running;
@@ -32,7 +32,7 @@
     private final Pair[][] pairs;
     private long startedUs;
     private double gapTokens;
-    private int mostSlotsHeld;
+    private int maxSlotsHeld;
 
     private ServiceMeter(List<CustomerLoad> loads, VirtualEngines engines) {
         this.loads = loads;
@@ -50,29 +50,29 @@
         return new ServiceMeter(loads, engines);
     }
 
-    /** Ends the warm-up. */
+    /** Resets the utilisation counters at the end of the warm-up. */
     void restart(long nowUs) {
         pools.forEach(pool -> pool.restart(nowUs));
         startedUs = nowUs;
     }
 
-    void noteArrived(BenchRequest request, long nowUs) {
+    void recordArrival(BenchRequest request, long nowUs) {
         waiting.get(request.load).add(request);
-        noteWaiting(request, 1, nowUs);
+        addWaiting(request, 1, nowUs);
     }
 
-    /** A target began the request, or it ended without. */
-    void noteNotWaiting(BenchRequest request, long nowUs) {
-        noteWaiting(request, -1, nowUs);
+    /** Records that a target started the request, or that it ended without being started. */
+    void recordNotWaiting(BenchRequest request, long nowUs) {
+        addWaiting(request, -1, nowUs);
     }
 
-    private void noteWaiting(BenchRequest request, int added, long nowUs) {
+    private void addWaiting(BenchRequest request, int added, long nowUs) {
         Pool pool = pools.get(loads.get(request.load).pool());
         pool.advance(nowUs);
         pool.waiting += added;
     }
 
-    void noteRunning(BenchRequest request, int added, long nowUs) {
+    void addRunning(BenchRequest request, int added, long nowUs) {
         Pool pool = pools.get(loads.get(request.load).pool());
         pool.advance(nowUs);
         pool.busy += added;
@@ -83,7 +83,7 @@
         settledTokens[request.load] += weightedTokens;
     }
 
-    /** Compares every pair of backlogged customers, with what the running requests were given so far. */
+    /** Compares the service of every pair of backlogged customers, including the tokens of running requests. */
     void sample(long nowUs) {
         double[] delivered = settledTokens.clone();
         for (VirtualEngine engine : engines.all()) {
@@ -93,8 +93,8 @@
         }
         boolean[] backlogged = new boolean[loads.size()];
         for (int load = 0; load < backlogged.length; load++) {
-            backlogged[load] = backlogged(load, nowUs);
-            mostSlotsHeld = backlogged[load] ? Math.max(mostSlotsHeld, running[load]) : mostSlotsHeld;
+            backlogged[load] = isBacklogged(load, nowUs);
+            maxSlotsHeld = backlogged[load] ? Math.max(maxSlotsHeld, running[load]) : maxSlotsHeld;
         }
         for (int one = 0; one < loads.size(); one++) {
             for (int other = one + 1; other < loads.size(); other++) {
@@ -116,25 +116,25 @@
             pair = new Pair(differenceTokens);
             pairs[one][other] = pair;
         }
-        gapTokens = Math.max(gapTokens, pair.note(differenceTokens));
+        gapTokens = Math.max(gapTokens, pair.update(differenceTokens));
     }
 
-    private boolean backlogged(int load, long nowUs) {
+    private boolean isBacklogged(int load, long nowUs) {
         ArrayDeque<BenchRequest> queue = waiting.get(load);
         BenchRequest oldest = queue.peek();
-        while (oldest != null && !oldest.waiting()) {
+        while (oldest != null && !oldest.isWaiting()) {
             queue.remove();
             oldest = queue.peek();
         }
         return oldest != null && nowUs - oldest.arrivedUs >= BACKLOGGED_AFTER_US;
     }
 
-    /** The most slots that one backlogged customer held at once. */
-    int mostSlotsHeld() {
-        return mostSlotsHeld;
+    /** Returns the maximum number of slots that one backlogged customer held concurrently. */
+    int maxSlotsHeld() {
+        return maxSlotsHeld;
     }
 
-    /** Of the model pools; utilisation is 1 where no work ever waited. */
+    /** Adds the measures of the model pools. Utilisation is 1 if no request ever waited. */
     void putInto(Map<Measure, Double> values, long nowUs) {
         List<Pool> models = pools.subList(0, pools.size() - 1);
         models.forEach(pool -> pool.advance(nowUs));
@@ -184,7 +184,7 @@
             highest = difference;
         }
 
-        private double note(double difference) {
+        private double update(double difference) {
             lowest = Math.min(lowest, difference);
             highest = Math.max(highest, difference);
             return highest - lowest;
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/VirtualClock.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/VirtualClock.java
@@ -2,12 +2,12 @@
 
 import java.util.PriorityQueue;
 
-/** Virtual time: what is to happen when, in microseconds; what is due at the same time happens in the order asked. */
+/** Event queue in virtual time, in microseconds. Tasks due at the same time run in the order of scheduling. */
 final class VirtualClock {
     static final long US_PER_MS = 1_000;
     static final long US_PER_S = 1_000_000;
 
-    private final PriorityQueue<Entry> entries = new PriorityQueue<>();
+    private final PriorityQueue<Task> tasks = new PriorityQueue<>();
     private long nowUs;
     private long order;
 
@@ -25,30 +25,30 @@
         return nowUs / US_PER_MS;
     }
 
-    void after(long delayUs, Runnable what) {
-        entries.add(new Entry(nowUs + delayUs, order++, what));
+    void after(long delayUs, Runnable task) {
+        tasks.add(new Task(nowUs + delayUs, order++, task));
     }
 
-    /** Repeats {@code what} for ever, first after {@code firstUs}. */
-    void every(long firstUs, long periodUs, Runnable what) {
+    /** Runs {@code task} after {@code firstUs} and then every {@code periodUs}, without end. */
+    void every(long firstUs, long periodUs, Runnable task) {
         after(firstUs, () -> {
-            what.run();
-            every(periodUs, periodUs, what);
+            task.run();
+            every(periodUs, periodUs, task);
         });
     }
 
     void runUntil(long untilUs) {
-        for (Entry next = entries.peek(); next != null && next.atUs <= untilUs; next = entries.peek()) {
-            entries.remove();
+        for (Task next = tasks.peek(); next != null && next.atUs <= untilUs; next = tasks.peek()) {
+            tasks.remove();
             nowUs = next.atUs;
-            next.what.run();
+            next.task.run();
         }
         nowUs = untilUs;
     }
 
-    private record Entry(long atUs, long order, Runnable what) implements Comparable<Entry> {
+    private record Task(long atUs, long order, Runnable task) implements Comparable<Task> {
         @Override
-        public int compareTo(Entry other) {
+        public int compareTo(Task other) {
             int byTime = Long.compare(atUs, other.atUs);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/VirtualEngine.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/VirtualEngine.java
@@ -10,16 +10,16 @@
 import org.marjoramswitch.kernel.model.Usage;
 
 /**
- * A continuously batching engine: {@code slots} requests run at once and each gets a token a step; what it admits
- * beyond that waits in its own queue, first come first served, as it knows no customers. Plain services are the same
- * with a step of a millisecond. Prompt prefixes are kept in a cache of limited size (least recently used goes first); a
- * prompt token that is not cached costs time before the first output token.
+ * Simulated engine with continuous batching in virtual time: up to {@code slots} requests run concurrently, and each
+ * step generates a token for each of them. Further requests wait in a FIFO queue, since the engine does not distinguish
+ * customers. Plain services use the same model with a step of one millisecond. Prompt prefixes are cached (LRU); each
+ * uncached prompt token adds prefill time before the first output token.
  */
 final class VirtualEngine {
     private static final long PREFILL_US_PER_TOKEN = 10;
     private static final int CACHED_PREFIXES = 32;
     private static final double PREFIX_SHARE = 0.5;
-    /** The listener hears of the first token and then of every eighth. */
+    /** Interval of progress notifications after the first token. */
     private static final long PROGRESS_TOKENS = 8;
 
     final int index;
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Ends a run early, or drops it from the queue; nothing is told to the listener but the freed slot. */
+    /** Aborts a run or removes the request from the queue. The listener is notified only of the freed slot. */
     void cancel(BenchRequest request) {
         queue.removeIf(run -> run.request == request);
         for (Iterator<Run> runs = running.iterator(); runs.hasNext(); ) {
@@ -89,23 +89,23 @@
         run.cachedPromptTokens = cachedTokens(run.request);
         run.prefillUs = (run.request.spec.promptTokens() - run.cachedPromptTokens) * PREFILL_US_PER_TOKEN;
         listener.started(run);
-        awaitTokens(run, 1);
+        scheduleTokens(run, 1);
     }
 
     private long cachedTokens(BenchRequest request) {
         if (request.spec.prefixHash() == 0) {
             return 0;
         }
-        boolean held = prefixes.put(request.spec.prefixHash(), true) != null;
+        boolean cached = prefixes.put(request.spec.prefixHash(), true) != null;
         if (prefixes.size() > CACHED_PREFIXES) {
             Iterator<Map.Entry<Long, Boolean>> eldest = prefixes.entrySet().iterator();
             eldest.next();
             eldest.remove();
         }
-        return held ? (long) (request.spec.promptTokens() * PREFIX_SHARE) : 0;
+        return cached ? (long) (request.spec.promptTokens() * PREFIX_SHARE) : 0;
     }
 
-    private void awaitTokens(Run run, long tokens) {
+    private void scheduleTokens(Run run, long tokens) {
         long dueUs = run.startedUs + run.prefillUs + tokens * stepUs;
         clock.after(dueUs - clock.nowUs(), () -> reachTokens(run, tokens));
     }
@@ -116,7 +116,7 @@
         }
         if (tokens < run.request.outputTokens) {
             listener.progressed(this, run, tokens);
-            awaitTokens(run, Math.min(run.request.outputTokens, tokens + PROGRESS_TOKENS));
+            scheduleTokens(run, Math.min(run.request.outputTokens, tokens + PROGRESS_TOKENS));
             return;
         }
         running.remove(run);
@@ -132,7 +132,7 @@
         }
     }
 
-    /** How many requests run at once, and the time of a step. */
+    /** Number of concurrent requests and duration of a step. */
     record Size(int slots, long stepUs) {}
 
     /** One execution of a request. */
@@ -151,36 +151,36 @@
             return cachedPromptTokens;
         }
 
-        /** What the target reports at the end. */
+        /** Returns the usage that the target reports at the end. */
         Usage usage() {
             return Usage.of(
                     request.spec.promptTokens(),
                     cachedPromptTokens,
                     request.outputTokens,
-                    tookUs() / VirtualClock.US_PER_MS);
+                    elapsedUs() / VirtualClock.US_PER_MS);
         }
 
-        private long tookUs() {
+        private long elapsedUs() {
             return clock.nowUs() - startedUs;
         }
 
-        /** Output delivered so far, in tokens. */
+        /** Returns the number of output tokens generated so far. */
         long deliveredTokens() {
-            long steps = (tookUs() - prefillUs) / stepUs;
+            long steps = (elapsedUs() - prefillUs) / stepUs;
             return Math.max(0, Math.min(request.outputTokens, steps));
         }
     }
 
-    /** Hears at once what happens in the engine. */
+    /** Receives engine events without delay. */
     interface Listener {
         void started(Run run);
 
         void progressed(VirtualEngine engine, Run run, long outputTokens);
 
-        /** The run gave its slot back, whether it ended or was cancelled. */
+        /** The run has freed its slot, because it ended or was cancelled. */
         void stopped(Run run);
 
-        /** The run delivered its whole output. */
+        /** The run has generated its complete output. */
         void ended(VirtualEngine engine, Run run);
     }
 }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/VirtualEngines.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/VirtualEngines.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** The targets of a shape, by index: the replicas, then the plain services, which form the pool after the models'. */
+/** Simulated targets of a shape, by index: first the replicas, then the plain services, which form the last pool. */
 final class VirtualEngines {
     private static final long SERVICE_STEP_US = 1_000;
 
@@ -23,9 +23,9 @@
             engines.add(VirtualEngine.create(engines.size(), shape.pools(), dataCentre, size, clock, listener));
         }
         for (int pool = 0; pool <= shape.pools(); pool++) {
-            int wanted = pool;
+            int poolIndex = pool;
             enginesByPool.add(IntStream.range(0, engines.size())
-                    .filter(engine -> engines.get(engine).pool == wanted)
+                    .filter(engine -> engines.get(engine).pool == poolIndex)
                     .toArray());
         }
     }
@@ -46,7 +46,7 @@
         return enginesByPool.size();
     }
 
-    /** Indexes of the pool's engines. */
+    /** Returns the indexes of the pool's engines. */
     int[] ofPool(int pool) {
         return enginesByPool.get(pool);
     }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/VirtualPeerLinks.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/VirtualPeerLinks.java
@@ -10,10 +10,10 @@
 import org.marjoramswitch.kernel.wire.LinkEncoder;
 
 /**
- * The links between instances: a constant delay in place of the network, the real encoder for the bytes, and the same
- * habits as the daemon's links. Messages to one peer within {@code LINGER_US} share a frame, prompt ones leave at once; a link is opened by the
- * first message, which is dropped with all that come before it is up; an active link without a frame for {@code
- * HEARTBEAT_US} sends a heartbeat; a silent one is taken for lost after {@code SILENT_US}.
+ * Simulated links between instances, with a constant network delay, the real encoder and the behaviour of the daemon's
+ * links. Messages to one peer within {@code LINGER_US} share a frame, and prompt messages are sent immediately. The
+ * first message opens a link; all messages sent before it is up are dropped. An active link without a frame for
+ * {@code HEARTBEAT_US} sends a heartbeat, and a silent link is considered lost after {@code SILENT_US}.
  */
 final class VirtualPeerLinks {
     private static final long LINGER_US = 2_000;
@@ -40,7 +40,7 @@
 
     static VirtualPeerLinks create(BenchShape shape, VirtualClock clock, IntPredicate down, Listener listener) {
         VirtualPeerLinks links = new VirtualPeerLinks(shape, clock, down, listener);
-        clock.every(HEARTBEAT_US, HEARTBEAT_US, links::heartbeats);
+        clock.every(HEARTBEAT_US, HEARTBEAT_US, links::sendHeartbeats);
         return links;
     }
 
@@ -57,25 +57,25 @@
         link.queue(message);
     }
 
-    /** The instance is gone: its own links at once, the peers notice by the silence. */
+    /** Closes all links of the instance. Its peers detect the loss after {@code SILENT_US}. */
     void killed(int instance) {
         for (Link link : List.copyOf(links.values())) {
             if (link.from == instance || link.to == instance) {
-                link.cut();
+                link.close();
                 if (link.to == instance) {
-                    clock.after(SILENT_US, () -> noteLost(link));
+                    clock.after(SILENT_US, () -> reportLost(link));
                 }
             }
         }
     }
 
-    /** Instances below {@code first} and the others do not reach each other any more. */
+    /** Partitions the instances below {@code first} from the others. */
     void partitioned(int first) {
         firstOfOthers = first;
         for (Link link : List.copyOf(links.values())) {
             if (!reachable(link.from, link.to)) {
-                link.cut();
-                clock.after(SILENT_US, () -> noteLost(link));
+                link.close();
+                clock.after(SILENT_US, () -> reportLost(link));
             }
         }
     }
@@ -84,7 +84,7 @@
         firstOfOthers = 0;
     }
 
-    private void noteLost(Link link) {
+    private void reportLost(Link link) {
         if (!link.up && !down.test(link.from)) {
             listener.linkChanged(link.from, link.to, false);
         }
@@ -113,7 +113,7 @@
         });
     }
 
-    private void heartbeats() {
+    private void sendHeartbeats() {
         for (Link link : links.values()) {
             boolean active = link.up && clock.nowUs() - link.lastMessageUs < ACTIVE_US;
             if (active && clock.nowUs() - link.lastFrameUs >= HEARTBEAT_US) {
@@ -130,7 +130,7 @@
         return from * shape.instances() + to;
     }
 
-    /** One direction between two instances. */
+    /** One direction of the link between two instances. */
     private final class Link {
         private final int from;
         private final int to;
@@ -155,7 +155,7 @@
             connection++;
         }
 
-        private void cut() {
+        private void close() {
             up = false;
             queued = new ArrayList<>();
             connection++;
@@ -199,7 +199,7 @@
         }
     }
 
-    /** Hears what the links bring to an instance. */
+    /** Receives the messages and link changes of all instances. */
     interface Listener {
         void received(int instance, int from, PeerMessage message);
 
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/WaitMeter.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/WaitMeter.java
@@ -4,7 +4,7 @@
 import org.HdrHistogram.Histogram;
 import org.marjoramswitch.testkit.bench.CustomerLoad.Group;
 
-/** Measures how long requests wait, by the customers' groups. Times are in microseconds. */
+/** Measures the wait and response times of requests by customer group, in microseconds. */
 final class WaitMeter {
     private static final int DIGITS = 3;
     private static final double P95 = 95;
@@ -20,13 +20,13 @@
         return new WaitMeter();
     }
 
-    void noteStart(Group group, long waitedUs) {
+    void recordStart(Group group, long waitedUs) {
         if (group == Group.SMALL) {
             smallWait.recordValue(waitedUs);
         }
     }
 
-    void noteFirstToken(Group group, long tookUs) {
+    void recordFirstToken(Group group, long tookUs) {
         if (group == Group.SERVICE) {
             return;
         }
@@ -36,7 +36,7 @@
         }
     }
 
-    void noteAnswered(Group group, long tookUs) {
+    void recordResponse(Group group, long tookUs) {
         if (group != Group.FLOODING && group != Group.SERVICE) {
             othersTotal.recordValue(tookUs);
         }
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/package-info.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A small deterministic bench: the kernel's real classes in virtual time, with a constant delay in place of a network
- * and a model of a batching engine in place of the targets, beside two simpler policies on the same load.
+ * Deterministic benchmark of the kernel's real classes in virtual time, with a constant delay instead of a network and
+ * simulated batching engines instead of targets, compared with two simpler policies on the same load.
  */
 @NullMarked
 package org.marjoramswitch.testkit.bench;
--- a/testkit/src/test/java/org/marjoramswitch/testkit/bench/BenchTest.java
+++ b/testkit/src/test/java/org/marjoramswitch/testkit/bench/BenchTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void everyBoundNamesACase() {
+    void everyBoundNamesAnExistingCase() {
         BenchBounds bounds = BenchBounds.load();
 
         assertEquals(
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aBrokenBoundIsReported() {
+    void violatedBoundIsReported() {
         BenchOptions options = BenchOptions.of(
                 List.of("thies_light"), 1, List.of(1L), new PrintStream(PrintStream.nullOutputStream()));
         BenchBounds.Bound tooStrict =
