--- a/tool/src/main/java/org/marjoramswitch/tool/CommandLine.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/CommandLine.java
@@ -17,7 +17,7 @@
 import org.marjoramswitch.tool.command.SettingsPutCommand;
 import org.marjoramswitch.tool.command.SettingsStatusCommand;
 
-/** The commands and their groups. */
+/** Declares the commands and command groups of the tool. */
 @Cli(
         name = "marjoramswitch",
         description = "Operates and tries out a marjoramswitch fleet.",
--- a/tool/src/main/java/org/marjoramswitch/tool/Console.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/Console.java
@@ -7,7 +7,7 @@
 import java.io.UncheckedIOException;
 import org.marjoramswitch.kernel.error.ErrorType;
 
-/** Where a command prints: its result on {@code out}, progress and faults on {@code err}. */
+/** Output streams of a command: the result goes to {@code out}, progress and faults to {@code err}. */
 public record Console(PrintStream out, PrintStream err) {
     private static final ObjectMapper JSON = new ObjectMapper()
             .enable(SerializationFeature.INDENT_OUTPUT)
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Prints one fault as a log line. */
+    /** Prints a fault to {@code err} as a line of key=value pairs. */
     public void fault(ErrorType type, String detail) {
         err.println("event=fault error=" + type.name() + " number=" + type.number() + " detail=\""
                 + type.message(detail).replace('"', '\'') + "\"");
--- a/tool/src/main/java/org/marjoramswitch/tool/ExitCode.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/ExitCode.java
@@ -1,6 +1,6 @@
 package org.marjoramswitch.tool;
 
-/** How the tool's process ends; the numbers are stable. */
+/** Exit codes of the tool; scripts rely on the numbers, which must not change. */
 public enum ExitCode {
     OK(0, "The command did what it was asked."),
     FAILED(1, "The command ran and its result is bad: a load that lost or doubled a request, a demo without answers."),
@@ -23,7 +23,7 @@
         return code;
     }
 
-    /** One sentence for the help text. */
+    /** Returns the sentence that the help text prints for this code. */
     public String meaning() {
         return meaning;
     }
--- a/tool/src/main/java/org/marjoramswitch/tool/Main.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/Main.java
@@ -4,7 +4,7 @@
 import com.github.rvesse.airline.parser.errors.ParseException;
 import org.marjoramswitch.kernel.error.ErrorType;
 
-/** The command-line tool's entry: reads the options, runs one command and exits with its code. */
+/** Entry point of the command-line tool: parses the options, runs one command and exits with its exit code. */
 public final class Main {
     private Main() {}
 
@@ -14,20 +14,20 @@
         System.exit(code.code());
     }
 
-    /** Runs one command line. */
+    /** Runs one command line and returns its exit code; never throws for an invalid command line. */
     public static ExitCode run(Console console, String... args) {
         try {
             return new Cli<ToolCommand>(CommandLine.class).parse(args).run(console);
-        } catch (ParseException misread) {
-            console.fault(ErrorType.USAGE, String.valueOf(misread.getMessage()));
+        } catch (ParseException invalidUsage) {
+            console.fault(ErrorType.USAGE, String.valueOf(invalidUsage.getMessage()));
             return ExitCode.USAGE;
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             console.fault(ErrorType.INTERNAL, "interrupted");
             return ExitCode.INTERNAL;
-        } catch (RuntimeException bug) {
-            console.fault(ErrorType.INTERNAL, bug.toString());
-            bug.printStackTrace(console.err());
+        } catch (RuntimeException unexpected) {
+            console.fault(ErrorType.INTERNAL, unexpected.toString());
+            unexpected.printStackTrace(console.err());
             return ExitCode.INTERNAL;
         }
     }
--- a/tool/src/main/java/org/marjoramswitch/tool/ToolCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/ToolCommand.java
@@ -1,7 +1,7 @@
 package org.marjoramswitch.tool;
 
-/** A command of the tool, made by Airline with its options set. */
+/** A command of the tool, instantiated by Airline with its options set. */
 public interface ToolCommand {
-    /** Does the command's work; faults that are expected end in an exit code and are printed, not thrown. */
+    /** Executes the command. Expected faults are printed and returned as an exit code, not thrown. */
     ExitCode run(Console console) throws InterruptedException;
 }
--- a/tool/src/main/java/org/marjoramswitch/tool/command/BenchCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/BenchCommand.java
@@ -17,7 +17,7 @@
 import org.marjoramswitch.tool.ExitCode;
 import org.marjoramswitch.tool.ToolCommand;
 
-/** Runs the bench. */
+/** Runs the benchmark of the kernel's decisions. */
 @Command(name = "bench", description = "Runs the decisions against simple policies in virtual time")
 @Discussion(
         paragraphs = {
--- a/tool/src/main/java/org/marjoramswitch/tool/command/DemoCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/DemoCommand.java
@@ -15,7 +15,7 @@
 import org.marjoramswitch.tool.load.Scenario;
 import org.marjoramswitch.tool.load.ScenarioReader;
 
-/** Runs the demo. */
+/** Runs a complete fleet with stand-in targets and a load in this process. */
 @Command(name = "demo", description = "Runs a whole fleet with stand-ins and a short load in this process")
 @Discussion(
         paragraphs = {
--- a/tool/src/main/java/org/marjoramswitch/tool/command/DocumentArguments.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/DocumentArguments.java
@@ -14,15 +14,15 @@
 import org.marjoramswitch.tool.settings.DocumentName;
 
 /**
- * The arguments {@code team/document [file]}.
+ * Parsed arguments {@code team/document [file]}.
  *
- * @param document the file's JSON object; null where no file was given or it could not be read, which was printed
+ * @param document the file's JSON object; null if no file was given, or if it could not be read and a fault was printed
  * @param hasFile whether a file was given
  */
 record DocumentArguments(DocumentName name, @Nullable ObjectNode document, boolean hasFile) {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** Null where the first argument does not name a document, which was printed. */
+    /** Parses the arguments; if they are invalid, prints a fault and returns null. */
     static @Nullable DocumentArguments read(List<String> arguments, Console console) {
         DocumentName name = arguments.isEmpty() ? null : DocumentName.parse(arguments.get(0));
         if (name == null || arguments.size() > 2) {
@@ -35,7 +35,7 @@
         return new DocumentArguments(name, readFile(arguments.get(1), console), true);
     }
 
-    /** The exit code where a document is needed and there is none. */
+    /** Returns the exit code for a command that requires a document if {@link #document} is null. */
     ExitCode withoutDocument() {
         return hasFile ? ExitCode.INVALID : ExitCode.USAGE;
     }
--- a/tool/src/main/java/org/marjoramswitch/tool/command/ExplainCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/ExplainCommand.java
@@ -18,7 +18,7 @@
 import org.marjoramswitch.tool.explain.Explanation;
 import org.marjoramswitch.tool.explain.LogLine;
 
-/** Explains a request's way. */
+/** Explains from logs why a request was sent to its target or rejected. */
 @Command(name = "explain", description = "Tells from the instances' logs why a request went where it did")
 @Discussion(
         paragraphs = {
--- a/tool/src/main/java/org/marjoramswitch/tool/command/FaultLines.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/FaultLines.java
@@ -2,7 +2,7 @@
 
 import org.marjoramswitch.kernel.configuration.SettingsFault;
 
-/** Sets a fault of the settings as a line, with its place. */
+/** Formats a settings fault as a line of key=value pairs, with the document and pointer of the fault. */
 final class FaultLines {
     private FaultLines() {}
 
--- a/tool/src/main/java/org/marjoramswitch/tool/command/FleetCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/FleetCommand.java
@@ -8,7 +8,7 @@
 import org.marjoramswitch.tool.fleet.FleetReader;
 import org.marjoramswitch.tool.fleet.FleetStatus;
 
-/** Shows instances, targets and arbiters. */
+/** Prints the status of the instances, targets and arbiters. */
 @Command(name = "fleet", description = "Shows the instances, the targets and which instance arbitrates which cell")
 public final class FleetCommand implements ToolCommand {
     @AirlineModule
@@ -17,7 +17,7 @@
     @Override
     public ExitCode run(Console console) throws InterruptedException {
         return platform.withStore(console, store -> {
-            FleetStatus status = FleetReader.ask(
+            FleetStatus status = FleetReader.query(
                     store,
                     (view, reader) -> FleetStatus.of(reader.settings(), reader.instances(), reader.targetStates()));
             if (platform.json()) {
--- a/tool/src/main/java/org/marjoramswitch/tool/command/HelpCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/HelpCommand.java
@@ -29,7 +29,7 @@
     public ExitCode run(Console console) {
         GlobalMetadata<ToolCommand> metadata = global;
         if (metadata == null) {
-            throw new IllegalStateException("made without Airline");
+            throw new IllegalStateException("not instantiated by Airline");
         }
         if (!command.isEmpty() && !isKnown(metadata, command.get(0))) {
             console.fault(ErrorType.USAGE, "there is no command " + command.get(0));
--- a/tool/src/main/java/org/marjoramswitch/tool/command/InstanceLines.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/InstanceLines.java
@@ -2,7 +2,7 @@
 
 import org.marjoramswitch.tool.fleet.InstanceStatus;
 
-/** Sets an instance's status as a line. */
+/** Formats an instance's status as a line of key=value pairs. */
 final class InstanceLines {
     private InstanceLines() {}
 
--- a/tool/src/main/java/org/marjoramswitch/tool/command/LoadCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/LoadCommand.java
@@ -20,7 +20,7 @@
 import org.marjoramswitch.tool.load.Scenario;
 import org.marjoramswitch.tool.load.ScenarioReader;
 
-/** Puts a bounded load on a fleet. */
+/** Runs a bounded load against a fleet or, with {@code --direct}, against targets. */
 @Command(name = "load", description = "Puts a bounded load on a fleet and reports what the callers saw")
 @Discussion(
         paragraphs = {
--- a/tool/src/main/java/org/marjoramswitch/tool/command/PlatformOptions.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/PlatformOptions.java
@@ -14,7 +14,7 @@
 import org.marjoramswitch.tool.settings.PlatformConnection;
 import org.marjoramswitch.tool.settings.SettingsView.UnavailableException;
 
-/** The options of every command that needs the platform's service. */
+/** Options of the commands that access the platform's key-value store. */
 public final class PlatformOptions {
     private static final String ENVIRONMENT = "MARJORAMSWITCH_PLATFORM";
 
@@ -28,18 +28,17 @@
     @Option(name = "--json", description = "Print the result as JSON")
     boolean json;
 
-    /** Whether the result is to be printed as JSON. */
     boolean json() {
         return json;
     }
 
-    /** What a command does with the store. */
+    /** Work of a command on the key-value store. */
     @FunctionalInterface
     interface StoreAction {
         ExitCode run(KeyValueStore store) throws UnavailableException, InterruptedException;
     }
 
-    /** Runs the action on a connection of its own. */
+    /** Opens a connection, runs the action and closes it; prints faults and returns the exit code. */
     ExitCode withStore(Console console, StoreAction action) throws InterruptedException {
         List<HostPort> platform;
         try {
@@ -57,8 +56,8 @@
         } catch (UnavailableException unavailable) {
             console.fault(ErrorType.PLATFORM_UNAVAILABLE, String.valueOf(unavailable.getMessage()));
             return ExitCode.UNAVAILABLE;
-        } catch (IOException noThreads) {
-            throw new UncheckedIOException(noThreads);
+        } catch (IOException cannotStart) {
+            throw new UncheckedIOException(cannotStart);
         }
     }
 
--- a/tool/src/main/java/org/marjoramswitch/tool/command/ReplayCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/ReplayCommand.java
@@ -15,7 +15,7 @@
 import org.marjoramswitch.tool.ToolCommand;
 import org.marjoramswitch.tool.replay.Replay;
 
-/** Replays a recording. */
+/** Replays a recording of kernel events. */
 @Command(name = "replay", description = "Runs an instance's recorded events through its decisions again")
 @Discussion(
         paragraphs = {
--- a/tool/src/main/java/org/marjoramswitch/tool/command/SettingsDiffCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/SettingsDiffCommand.java
@@ -18,7 +18,7 @@
 import org.marjoramswitch.tool.settings.SettingsView;
 import org.marjoramswitch.tool.settings.SettingsView.UnavailableException;
 
-/** Compares versions of a settings document. */
+/** Compares a settings document with a file or with its accepted version. */
 @Command(name = "diff", description = "Shows what a file would change, or what is written but not in force")
 @Discussion(
         paragraphs = {
--- a/tool/src/main/java/org/marjoramswitch/tool/command/SettingsHistoryCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/SettingsHistoryCommand.java
@@ -16,7 +16,7 @@
 import org.marjoramswitch.tool.settings.History;
 import org.marjoramswitch.tool.settings.SettingsView;
 
-/** Shows the last writes of a settings document. */
+/** Prints the latest writes of a settings document. */
 @Command(name = "history", description = "Shows the last writes of a settings document, newest first")
 public final class SettingsHistoryCommand implements ToolCommand {
     @AirlineModule
--- a/tool/src/main/java/org/marjoramswitch/tool/command/SettingsPutCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/SettingsPutCommand.java
@@ -23,7 +23,7 @@
 import org.marjoramswitch.tool.settings.SettingsView.UnavailableException;
 import org.marjoramswitch.tool.settings.SettingsWriter;
 
-/** Writes a settings document. */
+/** Writes a settings document unless someone else has changed it since it was read. */
 @Command(name = "put", description = "Writes a settings document where nobody else has changed it")
 @Discussion(
         paragraphs = {
--- a/tool/src/main/java/org/marjoramswitch/tool/command/SettingsStatusCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/SettingsStatusCommand.java
@@ -9,7 +9,7 @@
 import org.marjoramswitch.tool.fleet.FleetReader;
 import org.marjoramswitch.tool.fleet.SettingsStatus;
 
-/** Shows what is in force where, and why drafts were refused. */
+/** Prints the generation in force on each instance, and the pending and rejected drafts. */
 @Command(name = "status", description = "Shows which generation is in force on which instance, and refused drafts")
 @Discussion(
         paragraphs = {
@@ -24,7 +24,7 @@
     public ExitCode run(Console console) throws InterruptedException {
         return platform.withStore(console, store -> {
             SettingsStatus status =
-                    FleetReader.ask(store, (view, reader) -> SettingsStatus.read(view, reader.instances()));
+                    FleetReader.query(store, (view, reader) -> SettingsStatus.read(view, reader.instances()));
             if (platform.json()) {
                 console.json(status);
             } else {
--- a/tool/src/main/java/org/marjoramswitch/tool/command/package-info.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/package-info.java
@@ -1,4 +1,4 @@
-/** One class for each command: it reads the options and calls the library classes. */
+/** The commands, one class each: they parse the options, call the other packages and print the results. */
 @NullMarked
 package org.marjoramswitch.tool.command;
 
--- a/tool/src/main/java/org/marjoramswitch/tool/demo/DemoFleet.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/demo/DemoFleet.java
@@ -10,7 +10,7 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 import org.marjoramswitch.testkit.platform.KeyValueGateway;
 
-/** A site's instances, in this process but joined by real sockets only. */
+/** The instances of a site, which run in this process but communicate over sockets only. */
 final class DemoFleet implements AutoCloseable {
     private static final HostPort FREE_PORT = HostPort.of("127.0.0.1", 0);
     private static final String FLEET_KEY = "demo-fleet-key";
@@ -21,7 +21,7 @@
 
     private DemoFleet() {}
 
-    /** Starts the instances and has the platform list each as soon as its ports are known. */
+    /** Starts the instances and lists each one at the platform as soon as its ports are known. */
     static DemoFleet start(DemoSite site, KeyValueGateway platform) {
         DemoFleet fleet = new DemoFleet();
         List<HostPort> addresses = List.of(HostPort.of(platform.host(), platform.port()));
@@ -41,7 +41,7 @@
         return fleet;
     }
 
-    /** True once every instance is ready and knows all others. */
+    /** Whether every instance is ready and connected to all others. */
     boolean isReady() {
         return daemons.stream().allMatch(daemon -> daemon.isReady() && daemon.reachableInstances() == daemons.size());
     }
@@ -54,7 +54,7 @@
         return daemons.stream().map(Daemon::callersAddress).toList();
     }
 
-    /** Bytes that the instances have sent each other over their links. */
+    /** Returns the number of bytes that the instances have sent to each other over their peer links. */
     long controlBytes() {
         return daemons.stream()
                 .map(daemon -> daemon.metrics().getMeters().get(BYTES_OUT))
--- a/tool/src/main/java/org/marjoramswitch/tool/demo/DemoMeter.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/demo/DemoMeter.java
@@ -6,24 +6,25 @@
 import java.util.TreeSet;
 
 /**
- * Works out utilisation and the fairness gap from samples of what engines and callers counted.
+ * Computes utilisation and the fairness gap from samples of the engines' and callers' counters.
  *
- * <p><b>Utilisation</b> is the busy share of slot time over the intervals while work waited. Work certainly waits when
- * callers have more model requests outstanding than there are slots, so an interval counts when that is so at both its
- * ends. A fleet that leaves requests waiting beside an empty slot shows here; a light load does not.
+ * <p>Utilisation: the busy share of slot time over the intervals in which requests were waiting. Requests certainly
+ * wait when callers have more model requests outstanding than there are slots, so an interval counts if this holds at
+ * both its ends. Slots left empty while requests wait lower the utilisation; a light load does not.
  *
- * <p><b>The gap</b> between two customers is the largest difference in tokens that the engines gave them over any time
- * in which both were backlogged without a break. Both have the same weight in the demo. For each pair the meter keeps
- * the difference of their totals, and its least and greatest value since both became backlogged: the largest difference
- * gained over a part of that time is the greatest minus the least. Example: totals differ by 5 when the second customer
- * becomes backlogged, later by 9, later by 2: the gap is 7, gained between the last two.
+ * <p>Fairness gap: the largest difference between the output tokens of two customers over any period in which both were
+ * continuously backlogged. All customers have the same weight in the demo. For each pair the meter tracks the minimum
+ * and maximum of the difference of their totals since both became backlogged; the largest difference over any part of
+ * that period is the maximum minus the minimum. Example: if the totals differ by 5 when the second customer becomes
+ * backlogged, later by 9 and then by 2, the gap is 7.
  *
- * <p>The first {@value #WARM_UP_MS} ms are left out of the gap. All callers begin in the same millisecond, but their
- * requests reach the arbiters one after the other, and the first ones rightly get the empty slots before anybody else is
- * known to wait. Seen from the callers that is a gap, and no fleet could avoid it.
+ * <p>A customer is backlogged at a sample if it has more requests outstanding than the engines run for it.
  *
- * <p>A customer is backlogged at a sample where it has more requests outstanding than the engines run for it. Cost: the
- * square of the number of backlogged customers for each sample.
+ * <p>Warm-up: the gap excludes the first {@value #WARM_UP_MS} ms. All callers start in the same millisecond, but their
+ * requests reach the arbiters one after the other, and the first ones correctly take the empty slots before any other
+ * customer is known to wait. Callers observe that as a gap, which no fleet could avoid.
+ *
+ * <p>Cost: quadratic in the number of backlogged customers for each sample.
  */
 final class DemoMeter {
     static final long WARM_UP_MS = 2_000;
@@ -46,7 +47,7 @@
         return new DemoMeter(slots, first);
     }
 
-    /** @param elapsedMs since the callers began */
+    /** @param elapsedMs time since the callers started */
     void take(DemoSample sample, long elapsedMs) {
         boolean waiting = sample.outstanding() > slots;
         if (waiting && hadWaiting) {
@@ -60,7 +61,7 @@
         }
     }
 
-    /** 0 where no work ever waited. */
+    /** Returns the busy share of slot time, 0 to 1; 0 if no requests ever waited. */
     double utilisation() {
         double allMs = busyMs + idleMs;
         return allMs == 0 ? 0 : busyMs / allMs;
@@ -70,7 +71,7 @@
         return gapTokens;
     }
 
-    /** The two customers of the gap. */
+    /** Returns the two customers with the largest gap, separated by a comma, or {@code none}. */
     String gapBetween() {
         return gapBetween;
     }
--- a/tool/src/main/java/org/marjoramswitch/tool/demo/DemoRun.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/demo/DemoRun.java
@@ -18,7 +18,7 @@
 import org.marjoramswitch.tool.load.LoadRun;
 import org.marjoramswitch.tool.load.ProgressPrinter;
 import org.marjoramswitch.tool.load.Scenario;
-import org.marjoramswitch.tool.load.StandInAnswers;
+import org.marjoramswitch.tool.load.StandInResponses;
 import org.marjoramswitch.tool.settings.DocumentName;
 import org.marjoramswitch.tool.settings.PlatformConnection;
 import org.marjoramswitch.tool.settings.PutResult;
@@ -27,8 +27,8 @@
 import org.marjoramswitch.tool.settings.SettingsWriter;
 
 /**
- * Runs a demo: platform, targets and instances are started, the settings are put as an operator puts them, callers put
- * a load on the fleet, and what callers and targets counted is summed up.
+ * Runs a demo: starts the platform, targets and instances, writes the settings the way an operator does, runs a load
+ * against the fleet and summarises the counts of callers and targets.
  */
 public final class DemoRun {
     private static final long READY_TIMEOUT_MS = 60_000;
@@ -46,14 +46,14 @@
         this.progress = progress;
     }
 
-    /** @param progress gets a line for each step and second */
+    /** @param progress receives a line for each step and about once a second */
     public static DemoRun of(DemoSite site, Scenario scenario, PrintStream progress) {
         return new DemoRun(site, scenario, progress);
     }
 
     /** How a demo ended. */
     public sealed interface Result {
-        /** @param report what the callers saw */
+        /** @param report the results as the callers observed them */
         record Finished(DemoSummary summary, LoadReport report) implements Result {}
 
         record NotStarted(String reason) implements Result {}
@@ -67,9 +67,9 @@
                     + site.engines() + " services=" + site.services() + " data_centres="
                     + site.dataCentres().size() + " slots=" + targets.slots() + " platform=" + platform.host() + ":"
                     + platform.port());
-            String refused = putSettings(platform, targets);
-            if (!refused.isEmpty()) {
-                return new Result.NotStarted("settings: " + refused);
+            String failure = putSettings(platform, targets);
+            if (!failure.isEmpty()) {
+                return new Result.NotStarted("settings: " + failure);
             }
             if (!awaitInForce(platform, fleet)) {
                 return new Result.NotStarted("the settings are not in force after " + READY_TIMEOUT_MS + " ms");
@@ -80,8 +80,9 @@
     }
 
     /**
-     * Waits until every instance knows all others and has all documents in force. An instance is ready with its first
-     * generation, and that may hold one of the two documents only: the callers' keys would still be unknown.
+     * Waits until every instance is connected to all others and has all documents in force; returns false on timeout.
+     * The readiness of the instances is not sufficient: an instance is ready with its first generation, which may
+     * contain only one of the two documents, so that the callers' API keys would still be unknown.
      */
     boolean awaitInForce(KeyValueGateway platform, DemoFleet fleet) throws IOException, InterruptedException {
         List<HostPort> addresses = List.of(HostPort.of(platform.host(), platform.port()));
@@ -102,21 +103,21 @@
     private static boolean isSettled(SettingsView view, FleetReader reader) {
         try {
             return SettingsStatus.read(view, reader.instances()).isSettled();
-        } catch (UnavailableException again) {
+        } catch (UnavailableException unavailable) {
             return false;
         }
     }
 
-    /** Empty where both documents were written. */
+    /** Writes both documents; returns an empty text on success, otherwise the reasons for the failure. */
     String putSettings(KeyValueGateway platform, DemoTargets targets) throws IOException, InterruptedException {
         DocumentWriter customers = DocumentWriter.create();
         scenario.customers().forEach(customer -> customers.customer(customer.customer(), customer.apiKey()));
         List<HostPort> addresses = List.of(HostPort.of(platform.host(), platform.port()));
         try (PlatformConnection connection = PlatformConnection.open(addresses, KeyValueOptions.of(1))) {
             SettingsWriter writer = SettingsWriter.of(connection.store(), attempt -> Thread.sleep(SAMPLE_MS));
-            String targetsRefused = put(writer, new DocumentName("targets", site.name()), targets.document(site));
-            String customersRefused = put(writer, new DocumentName("customers", site.name()), customers.document());
-            return targetsRefused + customersRefused;
+            String targetsFailure = put(writer, new DocumentName("targets", site.name()), targets.document(site));
+            String customersFailure = put(writer, new DocumentName("customers", site.name()), customers.document());
+            return targetsFailure + customersFailure;
         }
     }
 
@@ -145,7 +146,7 @@
                             scenario,
                             HttpAddressSource.of(client, fleet.callers()),
                             client,
-                            StandInAnswers.of(DemoTargets.engineOptions()),
+                            StandInResponses.of(DemoTargets.engineOptions()),
                             outstanding,
                             "demo")
                     .run();
--- a/tool/src/main/java/org/marjoramswitch/tool/demo/DemoSample.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/demo/DemoSample.java
@@ -6,11 +6,11 @@
 import org.marjoramswitch.testkit.engine.EngineCounts;
 
 /**
- * What engines and callers counted at one moment.
+ * Counters of engines and callers at one point in time.
  *
  * @param tokensByCustomer output tokens since the engines' start
- * @param runningByCustomer requests in the engines' batches
- * @param outstandingByCustomer model requests that callers made and that have not ended
+ * @param runningByCustomer requests currently in the engines' batches
+ * @param outstandingByCustomer model requests of callers that have not ended
  */
 record DemoSample(
         double busySlotMs,
--- a/tool/src/main/java/org/marjoramswitch/tool/demo/DemoSite.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/demo/DemoSite.java
@@ -4,9 +4,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The shape of a deployment.
+ * Layout of a deployment.
  *
- * @param name also the name of the scenario that loads it
+ * @param name also the name of the scenario that is run against it
  * @param model the pool of model engines, {@code engines} of them
  * @param service the pool of plain services, {@code services} of them
  */
@@ -23,12 +23,12 @@
                     3),
             new DemoSite("leith", List.of("leith-a", "leith-b", "leith-c"), 9, "manifest-lm", 6, "harbour-app", 3));
 
-    /** The site of this name; null where there is none. */
+    /** Returns the site of this name; null if there is none. */
     public static @Nullable DemoSite named(String name) {
         return ALL.stream().filter(site -> site.name().equals(name)).findFirst().orElse(null);
     }
 
-    /** The data centre of the n-th instance or target; they are dealt out in turn. */
+    /** Returns the data centre of the n-th instance or target, assigned round-robin. */
     String dataCentre(int index) {
         return dataCentres.get(index % dataCentres.size());
     }
--- a/tool/src/main/java/org/marjoramswitch/tool/demo/DemoSummary.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/demo/DemoSummary.java
@@ -3,13 +3,13 @@
 import java.util.Locale;
 
 /**
- * What a demo came to, as its callers and targets counted it.
+ * Results of a demo, as counted by its callers and targets.
  *
- * @param unknown requests whose caller was told, or saw by a cut answer, that the outcome is unknown
- * @param lost requests whose caller got no end, or a wrong one that looked right
- * @param doubled requests that may not be repeated and were executed more than once
- * @param falselyNotRun calls that were executed though their callers were told that they did not run
- * @param controlBytes sent between the instances
+ * @param unknown requests with an outcome unknown to the caller, from the response or a broken connection
+ * @param lost requests that timed out, or whose response was truncated or another request's but looked valid
+ * @param doubled non-repeatable requests that were executed more than once
+ * @param falselyNotRun calls that were reported to their callers as not run although they were executed
+ * @param controlBytes bytes that the instances sent to each other
  */
 public record DemoSummary(
         long requests,
@@ -26,7 +26,7 @@
         return lost == 0 && doubled == 0 && falselyNotRun == 0 && answered > 0;
     }
 
-    /** The one line that ends the demo. */
+    /** Returns the summary line that the demo prints last. */
     public String line() {
         return String.format(
                 Locale.ROOT,
--- a/tool/src/main/java/org/marjoramswitch/tool/demo/DemoTargets.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/demo/DemoTargets.java
@@ -9,9 +9,9 @@
 import org.marjoramswitch.testkit.engine.ModelEngine;
 import org.marjoramswitch.testkit.service.PlainService;
 
-/** A site's targets, all stand-ins. */
+/** Stand-in targets of a site. */
 final class DemoTargets implements AutoCloseable {
-    /** Smaller than an engine's usual batch, so that one process can also carry the callers and the fleet. */
+    /** Below an engine's usual batch size, so that the callers and the fleet can run in the same process. */
     static final int SLOTS = 8;
 
     private static final int STEP_MS = 4;
@@ -35,7 +35,7 @@
         return targets;
     }
 
-    /** Every engine's options; with the same ones the words of its answers can be foretold. */
+    /** Returns the options of every engine, from which the text of its responses can be computed. */
     static EngineOptions engineOptions() {
         return EngineOptions.defaults().stepMs(STEP_MS).maxBatch(SLOTS).flushSteps(FLUSH_STEPS);
     }
@@ -44,7 +44,7 @@
         return engines.size() * SLOTS;
     }
 
-    /** The operators' document that names these targets. */
+    /** Returns the settings document that defines these targets. */
     ObjectNode document(DemoSite site) {
         DocumentWriter document = DocumentWriter.create();
         document.enginePool(site.model());
@@ -64,12 +64,12 @@
         return engines.stream().map(ModelEngine::counts).toList();
     }
 
-    /** Requests that may not be repeated and were executed more than once. */
+    /** Returns the number of non-repeatable requests that were executed more than once. */
     long doubled() {
         return services.stream().mapToLong(PlainService::doubled).sum();
     }
 
-    /** How many of these calls were executed all the same. */
+    /** Returns how many of these calls were executed. */
     long executed(Set<String> requestIds) {
         return services.stream()
                 .flatMap(service -> service.executions().keySet().stream())
--- a/tool/src/main/java/org/marjoramswitch/tool/demo/DocumentWriter.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/demo/DocumentWriter.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.marjoramswitch.kernel.misc.Sha256;
 
-/** Writes a settings document as an operator would. */
+/** Builds the settings documents of the demo. */
 final class DocumentWriter {
     private final ObjectNode root = JsonNodeFactory.instance.objectNode();
 
@@ -14,7 +14,7 @@
         return new DocumentWriter();
     }
 
-    /** Charges output tokens only, which is what the stand-ins count by customer, so that the gap can be measured. */
+    /** Adds a pool that charges output tokens only, since the stand-ins count only these by customer for the gap. */
     void enginePool(String name) {
         root.withObject("/pools").putObject(name).put("kind", "model-engine").put("promptTokenCost", 0);
     }
--- a/tool/src/main/java/org/marjoramswitch/tool/demo/OutstandingRequests.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/demo/OutstandingRequests.java
@@ -9,7 +9,7 @@
 import org.marjoramswitch.tool.load.RequestOutcome;
 import org.marjoramswitch.tool.load.RequestPlan;
 
-/** Counts each customer's outstanding model requests and keeps which service calls were refused; read by any thread. */
+/** Tracks each customer's outstanding model requests and the rejected service calls. Safe to read from any thread. */
 final class OutstandingRequests implements LoadListener {
     private final Map<String, Integer> byCustomer = new ConcurrentHashMap<>();
     private final Set<String> refusedCalls = ConcurrentHashMap.newKeySet();
@@ -23,7 +23,7 @@
         return Map.copyOf(byCustomer);
     }
 
-    /** Ids of the service calls whose callers were told that they did not run. */
+    /** Returns the ids of the service calls that were reported to their callers as not run. */
     Set<String> refusedCalls() {
         return Set.copyOf(refusedCalls);
     }
--- a/tool/src/main/java/org/marjoramswitch/tool/demo/package-info.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/demo/package-info.java
@@ -1,4 +1,4 @@
-/** The demo: a whole fleet with its platform, targets and callers in one process, and a measured result. */
+/** The demo: a complete fleet with its platform, targets and callers in one process, and a summary of the results. */
 @NullMarked
 package org.marjoramswitch.tool.demo;
 
--- a/tool/src/main/java/org/marjoramswitch/tool/explain/Explanation.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/explain/Explanation.java
@@ -14,25 +14,25 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The story of one request, found in the logs of its entry and of the arbiters.
+ * Reconstructs the steps of one request from the logs of its entry instance and of the arbiters.
  *
- * <p>The entry's lines name the request by the entry's number, and the line of its end by the caller's id too; either
- * will do. An arbiter's lines do not, as an arbiter knows no requests: it grants to an entry and customer, or answers an
- * entry's question. The two meet in the cell and a number, the grant's or the question's, which the entry logs when it
- * binds the one to the other. So the lines are gathered in two passes: first those that name the request, then the
- * arbiters' whose cell, number and customer the first ones name.
+ * <p>The entry's lines identify the request by the entry's request number, and the line of its end also by the caller's
+ * id; either is accepted. Arbiters do not know requests: an arbiter grants slots to an entry and customer, or responds
+ * to an entry's placement request. The lines of entry and arbiter are joined by the cell and the sequence number of the
+ * grant or the placement id, which the entry logs when it assigns it to a request. Lines are therefore selected in two
+ * passes: first those of the request, then the arbiters' lines with the same cell, number and customer.
  *
- * <p>Request numbers and questions are unique within one life of an instance. With a caller's id, only the lines of the
- * life that had the request are taken; with a number, those of all, and each line names the log that it comes from. Where
- * the entry's log tells the entry's name, an arbiter's line must be for that entry. Of several that are left, from other
- * lives, it is the one that is nearest in time.
+ * <p>Edge cases: request numbers and placement ids are unique only within one incarnation of an instance. Given a
+ * caller's id, only lines of the incarnation that received the request are selected; given a number, lines of all
+ * incarnations, and each step names its log. If the entry's log contains the entry's name, an arbiter's line must be
+ * for that entry. If several arbiter lines remain, from different incarnations, the nearest in time is used.
  */
 public final class Explanation {
-    private static final Set<String> ARBITERS_LINES = Set.of("grant", "place", "not_placed");
+    private static final Set<String> ARBITER_EVENTS = Set.of("grant", "place", "not_placed");
 
     private Explanation() {}
 
-    /** One step of the story. */
+    /** One log line about the request, as a sentence. */
     public record Step(String time, String source, String text) {
         @Override
         public String toString() {
@@ -41,71 +41,72 @@
     }
 
     /**
-     * The steps in the order of their times; empty where no line names the request.
+     * Returns the steps in the order of their times; empty if no line is about the request.
      *
-     * @param id the entry's number of the request, or the caller's id
+     * @param id the entry's request number or the caller's id
      */
     public static List<Step> of(String id, List<LogLine> lines) {
-        Set<LogLine> story = new LinkedHashSet<>();
-        for (EntryLine entryLine : ofRequest(id, lines)) {
-            story.add(entryLine.line());
-            LogLine reason = reason(entryLine, lines);
-            if (reason != null) {
-                story.add(reason);
+        Set<LogLine> selected = new LinkedHashSet<>();
+        for (EntryLine entryLine : linesOfRequest(id, lines)) {
+            selected.add(entryLine.line());
+            LogLine arbiterLine = arbiterLine(entryLine, lines);
+            if (arbiterLine != null) {
+                selected.add(arbiterLine);
             }
         }
-        return story.stream()
+        return selected.stream()
                 .sorted(Comparator.comparing((LogLine line) -> line.get("time")))
                 .map(line -> new Step(line.get("time"), line.source(), sentence(line)))
                 .toList();
     }
 
     /**
-     * A line of an entry's log.
+     * A line of an entry's log that is about a request.
      *
-     * @param entry the entry's name, empty where its log does not tell
-     * @param life counts the starts that the log has seen before
+     * @param entry the entry's name; empty if its log does not contain it
+     * @param incarnation number of instance starts in the log before this line
      */
-    private record EntryLine(LogLine line, String entry, int life) {
+    private record EntryLine(LogLine line, String entry, int incarnation) {
         String request() {
-            return line.source() + '#' + life + '#' + line.request();
+            return line.source() + '#' + incarnation + '#' + line.request();
         }
     }
 
-    private static List<EntryLine> ofRequest(String id, List<LogLine> lines) {
-        List<EntryLine> all = inLives(lines);
-        Set<String> ofCaller = new HashSet<>();
+    private static List<EntryLine> linesOfRequest(String id, List<LogLine> lines) {
+        List<EntryLine> all = withIncarnations(lines);
+        Set<String> requestsOfCaller = new HashSet<>();
         all.stream()
                 .filter(entryLine -> entryLine.line().get("caller").equals(id))
-                .forEach(entryLine -> ofCaller.add(entryLine.request()));
+                .forEach(entryLine -> requestsOfCaller.add(entryLine.request()));
         return all.stream()
-                .filter(entryLine -> entryLine.line().request().equals(id) || ofCaller.contains(entryLine.request()))
+                .filter(entryLine ->
+                        entryLine.line().request().equals(id) || requestsOfCaller.contains(entryLine.request()))
                 .toList();
     }
 
-    private static List<EntryLine> inLives(List<LogLine> lines) {
-        Map<String, Integer> lives = new HashMap<>();
+    private static List<EntryLine> withIncarnations(List<LogLine> lines) {
+        Map<String, Integer> incarnations = new HashMap<>();
         Map<String, String> names = new HashMap<>();
         List<EntryLine> all = new ArrayList<>();
         for (LogLine line : lines) {
             if (line.get("event").equals("instance_started")) {
-                lives.merge(line.source(), 1, Integer::sum);
+                incarnations.merge(line.source(), 1, Integer::sum);
                 names.put(line.source(), line.get("instance"));
             }
             if (!line.request().isEmpty()) {
                 all.add(new EntryLine(
-                        line, names.getOrDefault(line.source(), ""), lives.getOrDefault(line.source(), 0)));
+                        line, names.getOrDefault(line.source(), ""), incarnations.getOrDefault(line.source(), 0)));
             }
         }
         return all;
     }
 
-    private static @Nullable LogLine reason(EntryLine entryLine, List<LogLine> lines) {
-        String question = question(entryLine.line());
+    private static @Nullable LogLine arbiterLine(EntryLine entryLine, List<LogLine> lines) {
+        String correlationKey = correlationKey(entryLine.line());
         Instant at = time(entryLine.line());
         return lines.stream()
-                .filter(line -> ARBITERS_LINES.contains(line.get("event"))
-                        && question(line).equals(question))
+                .filter(line -> ARBITER_EVENTS.contains(line.get("event"))
+                        && correlationKey(line).equals(correlationKey))
                 .filter(line -> entryLine.entry().isEmpty() || line.get("entry").equals(entryLine.entry()))
                 .min(Comparator.comparing(
                         line -> Duration.between(time(line), at).abs()))
@@ -120,8 +121,8 @@
         }
     }
 
-    /** What an entry's line and an arbiter's have in common; the end of a refused request names its question whole. */
-    private static String question(LogLine line) {
+    /** Key that joins an entry's line to an arbiter's. The detail of NO_TARGET_IN_TIME holds cell and placement id. */
+    private static String correlationKey(LogLine line) {
         String detail = line.get("detail");
         if (line.get("error").equals("NO_TARGET_IN_TIME") && detail.contains("#")) {
             return detail + '#' + line.get("customer");
--- a/tool/src/main/java/org/marjoramswitch/tool/explain/LogLine.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/explain/LogLine.java
@@ -3,10 +3,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** One log line of key=value pairs, as {@link org.marjoramswitch.daemon.log.KeyValueLog} writes them. */
+/** A log line of key=value pairs in the format of {@link org.marjoramswitch.daemon.log.KeyValueLog}. */
 public record LogLine(String source, Map<String, String> fields) {
 
-    /** Reads a line; text that is no pair is passed over. */
+    /** Parses a line; ignores text that is not part of a pair. */
     public static LogLine parse(String source, String text) {
         Map<String, String> fields = new LinkedHashMap<>();
         int at = 0;
@@ -23,12 +23,12 @@
         return new LogLine(source, fields);
     }
 
-    /** The value, or an empty text where the line has no such key. */
+    /** Returns the value of the key; empty if the line does not contain it. */
     public String get(String key) {
         return fields.getOrDefault(key, "");
     }
 
-    /** The request that the line is about; empty where it is about none. */
+    /** Returns the number of the request that the line is about; empty if there is none. */
     public String request() {
         return fields.containsKey("request") ? get("request") : get("requestId");
     }
--- a/tool/src/main/java/org/marjoramswitch/tool/explain/package-info.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/explain/package-info.java
@@ -1,4 +1,4 @@
-/** Explains from the instances' logs why a request went where it did. */
+/** Explains from the instances' logs why a request was sent to its target or rejected. */
 @NullMarked
 package org.marjoramswitch.tool.explain;
 
--- a/tool/src/main/java/org/marjoramswitch/tool/fleet/FleetReader.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/fleet/FleetReader.java
@@ -17,17 +17,18 @@
 import org.marjoramswitch.kernel.settings.FleetSettings;
 import org.marjoramswitch.tool.http.CallerClient;
 import org.marjoramswitch.tool.http.HttpCall;
-import org.marjoramswitch.tool.http.HttpReply;
+import org.marjoramswitch.tool.http.HttpResponse;
 import org.marjoramswitch.tool.settings.SettingsView;
 import org.marjoramswitch.tool.settings.SettingsView.UnavailableException;
 
-/** Reads the platform's list and asks each listed instance about itself. */
+/** Reads the platform's lists and queries the status of each listed instance over HTTP. */
 public final class FleetReader {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String INSTANCES = "list/instances/";
     private static final String TARGETS = "list/targets/";
-    private static final long ASK_TIMEOUT_MS = 2_000;
-    /** One command asks a few hundred instances once. */
+    private static final long REQUEST_TIMEOUT_MS = 2_000;
+
+    /** Sufficient for one command, which queries a few hundred instances once. */
     private static final int IO_THREADS = 1;
 
     private final SettingsView view;
@@ -42,36 +43,36 @@
         return new FleetReader(view, client);
     }
 
-    /** What a command wants to know of the fleet. */
+    /** A query against the fleet. */
     @FunctionalInterface
-    public interface Question<T> {
-        T ask(SettingsView view, FleetReader reader) throws UnavailableException;
+    public interface Query<T> {
+        T run(SettingsView view, FleetReader reader) throws UnavailableException;
     }
 
-    /** Answers a question over connections of its own, which are closed afterwards. */
-    public static <T> T ask(KeyValueStore store, Question<T> question) throws UnavailableException {
+    /** Runs a query over its own HTTP client, which is closed afterwards. */
+    public static <T> T query(KeyValueStore store, Query<T> query) throws UnavailableException {
         try (CallerClient client = CallerClient.start(IO_THREADS)) {
             SettingsView view = SettingsView.of(store);
-            return question.ask(view, of(view, client));
-        } catch (IOException noThreads) {
-            throw new UncheckedIOException(noThreads);
+            return query.run(view, of(view, client));
+        } catch (IOException cannotStart) {
+            throw new UncheckedIOException(cannotStart);
         }
     }
 
-    /** The listed instances by name; all are asked at the same time. */
+    /** Returns the status of all listed instances, by name; they are queried concurrently. */
     public List<InstanceStatus> instances() throws UnavailableException {
-        List<CompletableFuture<InstanceStatus>> asked = view.values(INSTANCES).entrySet().stream()
-                .map(listed -> ask(listed.getKey().substring(INSTANCES.length()), parse(listed.getValue())))
+        List<CompletableFuture<InstanceStatus>> pending = view.values(INSTANCES).entrySet().stream()
+                .map(listed -> queryInstance(listed.getKey().substring(INSTANCES.length()), parse(listed.getValue())))
                 .toList();
-        return asked.stream().map(CompletableFuture::join).toList();
+        return pending.stream().map(CompletableFuture::join).toList();
     }
 
-    /** The accepted settings; {@link FleetSettings#NONE} before the first acceptance. */
+    /** Returns the accepted settings; {@link FleetSettings#NONE} before the first acceptance. */
     public FleetSettings settings() throws UnavailableException {
         return AcceptedTree.fromStore(view.values(SettingsKeys.ACCEPTED)).settings();
     }
 
-    /** The platform's state of each target that it lists. */
+    /** Returns the state of each target that the platform lists. */
     public Map<String, String> targetStates() throws UnavailableException {
         Map<String, String> states = new TreeMap<>();
         view.values(TARGETS)
@@ -81,7 +82,7 @@
         return states;
     }
 
-    private CompletableFuture<InstanceStatus> ask(String instance, JsonNode listed) {
+    private CompletableFuture<InstanceStatus> queryInstance(String instance, JsonNode listed) {
         String address = listed.path("callers").asText();
         HostPort callers;
         try {
@@ -89,10 +90,10 @@
         } catch (IllegalArgumentException malformed) {
             return CompletableFuture.completedFuture(status(instance, listed, false, parse(""), parse("")));
         }
-        CompletableFuture<HttpReply> ready =
-                client.ask(callers, HttpCall.get("/health/ready", Map.of()), ASK_TIMEOUT_MS);
-        CompletableFuture<HttpReply> metrics =
-                client.ask(callers, HttpCall.get("/metrics?format=json", Map.of()), ASK_TIMEOUT_MS);
+        CompletableFuture<HttpResponse> ready =
+                client.execute(callers, HttpCall.get("/health/ready", Map.of()), REQUEST_TIMEOUT_MS);
+        CompletableFuture<HttpResponse> metrics =
+                client.execute(callers, HttpCall.get("/metrics?format=json", Map.of()), REQUEST_TIMEOUT_MS);
         return ready.thenCombine(
                 metrics,
                 (health, values) ->
--- a/tool/src/main/java/org/marjoramswitch/tool/fleet/FleetStatus.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/fleet/FleetStatus.java
@@ -15,18 +15,18 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * Instances, targets and arbiters at a glance.
+ * Status of the instances, targets and arbiters.
  *
- * @param generation of the accepted settings in the platform's service
+ * @param generation generation of the accepted settings in the key-value store
  */
 public record FleetStatus(
         long generation, List<InstanceStatus> instances, List<TargetStatus> targets, List<CellStatus> cells) {
 
-    /** @param listed the platform's state, empty where it does not list the target */
+    /** @param listed the state in the platform's list; empty if the target is not listed */
     public record TargetStatus(
             String target, String pool, String address, String dataCentre, int slots, String listed, String cell) {}
 
-    /** @param arbiter worked out as the instances do it, from those that answered and are not leaving */
+    /** @param arbiter computed as the instances do, from the reachable instances that are not draining */
     public record CellStatus(String cell, int targets, String arbiter) {}
 
     public static FleetStatus of(
--- a/tool/src/main/java/org/marjoramswitch/tool/fleet/InstanceStatus.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/fleet/InstanceStatus.java
@@ -1,14 +1,14 @@
 package org.marjoramswitch.tool.fleet;
 
 /**
- * One instance, as the platform lists it and as it answers for itself.
+ * Status of an instance, from the platform's list and from the instance itself.
  *
- * @param listed the state in the platform's list, which lags
- * @param reachable whether it answered
- * @param ready whether it takes new requests; {@code reason} says why not
- * @param generation the settings in force there, 0 for none
- * @param openRequests requests of callers at this instance now
- * @param processorMillicores the processor that it may use, in thousandths of a core; 0 where unknown
+ * @param listed the state in the platform's list, which may be out of date
+ * @param reachable whether the instance responded
+ * @param ready whether it accepts new requests; if not, {@code reason} says why
+ * @param generation generation of the settings in force there; 0 for none
+ * @param openRequests number of open caller requests at this instance
+ * @param processorMillicores the processor quota in thousandths of a core; 0 if unknown
  */
 public record InstanceStatus(
         String instance,
--- a/tool/src/main/java/org/marjoramswitch/tool/fleet/SettingsStatus.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/fleet/SettingsStatus.java
@@ -10,11 +10,11 @@
 import org.marjoramswitch.tool.settings.SettingsView.UnavailableException;
 
 /**
- * How far the settings that operators wrote are in force.
+ * Status of the settings: what is accepted, in force, pending and rejected.
  *
- * @param acceptedGeneration the newest accepted one, 0 before the first
- * @param pending documents that were written after what the accepted generation considers
- * @param refused why drafts were refused
+ * @param acceptedGeneration the latest accepted generation; 0 before the first
+ * @param pending documents with a later revision than the accepted generation has considered
+ * @param refused faults for which drafts were rejected
  */
 public record SettingsStatus(
         long acceptedGeneration, List<InstanceStatus> instances, List<String> pending, List<SettingsFault> refused) {
@@ -36,7 +36,7 @@
         return new SettingsStatus(head == null ? 0 : head.generation(), instances, pending, refused);
     }
 
-    /** True where everything written is accepted and in force on every instance that answers. */
+    /** Whether all documents are accepted and in force on every reachable instance. */
     public boolean isSettled() {
         return refused.isEmpty()
                 && pending.isEmpty()
--- a/tool/src/main/java/org/marjoramswitch/tool/fleet/package-info.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/fleet/package-info.java
@@ -1,4 +1,4 @@
-/** What the fleet looks like: the platform's list, what each instance says of itself, and the settings in force. */
+/** Status of the fleet: the platform's lists, the status that each instance reports, and the settings in force. */
 @NullMarked
 package org.marjoramswitch.tool.fleet;
 
--- a/tool/src/main/java/org/marjoramswitch/tool/http/CallEnd.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/http/CallEnd.java
@@ -1,13 +1,13 @@
 package org.marjoramswitch.tool.http;
 
-/** How a call ended for the caller's connection; what the answer says is another matter. */
+/** How a call ended at the connection level, independent of the response's status and content. */
 public enum CallEnd {
-    /** The answer was read to its framed end. */
-    WHOLE,
-    /** No connection could be opened, so no byte of the request went out. */
+    /** The response was read to the end of its HTTP framing. */
+    COMPLETE,
+    /** No connection could be opened, so no byte of the request was sent. */
     NOT_CONNECTED,
-    /** The connection ended before the answer's framed end. */
+    /** The connection failed before the end of the response framing. */
     BROKEN,
-    /** This side cut the call. */
+    /** The client cancelled the call. */
     CANCELLED
 }
--- a/tool/src/main/java/org/marjoramswitch/tool/http/CallerClient.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/http/CallerClient.java
@@ -20,12 +20,12 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Sends calls as callers do: one call at a time on a connection, idle connections kept for a short while. */
+/** HTTP/1.1 client that sends one call at a time on a connection and pools idle connections for a short time. */
 public final class CallerClient implements AutoCloseable {
     private static final int BUFFER_BYTES = 16 * 1024;
     private static final int MAX_POOLED_BUFFERS = 512;
 
-    /** Well under the idle timeout of common servers, so that a kept connection is not met while it is closed. */
+    /** Well below the idle timeout of common servers, so that a pooled connection is not reused while it is closing. */
     private static final long MAX_IDLE_NS = TimeUnit.SECONDS.toNanos(2);
 
     private final XnioWorker worker;
@@ -48,12 +48,12 @@
         return new CallerClient(Xnio.getInstance().createWorker(options));
     }
 
-    /** Starts a call; the listener gets its end whatever happens. */
+    /** Starts a call without blocking; the listener always receives exactly one end. */
     public RunningCall start(HostPort address, HttpCall call, CallListener listener) {
-        RunningCall running = new RunningCall(call, address, listener, this::keep);
-        ClientConnection kept = takeIdle(address);
-        if (kept != null) {
-            kept.getIoThread().execute(() -> running.send(kept));
+        RunningCall running = new RunningCall(call, address, listener, this::addIdle);
+        ClientConnection idleConnection = takeIdle(address);
+        if (idleConnection != null) {
+            idleConnection.getIoThread().execute(() -> running.send(idleConnection));
             return running;
         }
         UndertowClient.getInstance()
@@ -61,17 +61,19 @@
         return running;
     }
 
-    /** Makes a call and gathers its answer; cut after {@code timeoutMs}. */
-    public CompletableFuture<HttpReply> ask(HostPort address, HttpCall call, long timeoutMs) {
-        ReplyCollector collector = new ReplyCollector();
+    /** Starts a call and buffers its response; the call is cancelled after {@code timeoutMs}. */
+    public CompletableFuture<HttpResponse> execute(HostPort address, HttpCall call, long timeoutMs) {
+        ResponseCollector collector = new ResponseCollector();
         RunningCall running = start(address, call, collector);
         worker.getIoThread().executeAfter(running::cancel, timeoutMs, TimeUnit.MILLISECONDS);
-        return collector.reply();
+        return collector.response();
     }
 
     @Override
     public void close() {
-        idle.values().forEach(connections -> connections.forEach(kept -> IoUtils.safeClose(kept.connection())));
+        idle.values()
+                .forEach(connections ->
+                        connections.forEach(idleConnection -> IoUtils.safeClose(idleConnection.connection())));
         worker.shutdownNow();
     }
 
@@ -81,16 +83,18 @@
             return null;
         }
         long nowNs = System.nanoTime();
-        for (IdleConnection kept = connections.pollLast(); kept != null; kept = connections.pollLast()) {
-            if (kept.connection().isOpen() && nowNs - kept.sinceNs() < MAX_IDLE_NS) {
-                return kept.connection();
+        for (IdleConnection idleConnection = connections.pollLast();
+                idleConnection != null;
+                idleConnection = connections.pollLast()) {
+            if (idleConnection.connection().isOpen() && nowNs - idleConnection.sinceNs() < MAX_IDLE_NS) {
+                return idleConnection.connection();
             }
-            IoUtils.safeClose(kept.connection());
+            IoUtils.safeClose(idleConnection.connection());
         }
         return null;
     }
 
-    private void keep(HostPort address, ClientConnection connection) {
+    private void addIdle(HostPort address, ClientConnection connection) {
         if (!connection.isOpen()) {
             return;
         }
--- a/tool/src/main/java/org/marjoramswitch/tool/http/HttpCall.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/http/HttpCall.java
@@ -3,8 +3,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** One HTTP request as a caller sends it; {@code path} holds the query string. */
-@SuppressWarnings("ArrayRecordComponent") // calls are never compared, and the body is not copied on its way
+/** An HTTP request to send; {@code path} includes the query string. */
+@SuppressWarnings("ArrayRecordComponent") // calls are never compared, and the body is not copied
 public record HttpCall(String method, String path, Map<String, String> headers, byte[] body) {
     private static final byte[] NO_BODY = new byte[0];
 
--- a/tool/src/main/java/org/marjoramswitch/tool/http/ReplyCollector.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/http/ResponseCollector.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** Gathers a call's answer into one reply. */
-final class ReplyCollector implements CallListener {
-    private final CompletableFuture<HttpReply> reply = new CompletableFuture<>();
+/** Buffers a call's response and completes a future with it when the call ends. */
+final class ResponseCollector implements CallListener {
+    private final CompletableFuture<HttpResponse> response = new CompletableFuture<>();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private int status;
     private Map<String, String> headers = Map.of();
 
-    CompletableFuture<HttpReply> reply() {
-        return reply;
+    CompletableFuture<HttpResponse> response() {
+        return response;
     }
 
     @Override
@@ -29,6 +29,6 @@
 
     @Override
     public void onEnd(CallEnd end) {
-        reply.complete(new HttpReply(end, status, headers, body.toString(StandardCharsets.UTF_8)));
+        response.complete(new HttpResponse(end, status, headers, body.toString(StandardCharsets.UTF_8)));
     }
 }
--- a/tool/src/main/java/org/marjoramswitch/tool/http/RunningCall.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/http/RunningCall.java
@@ -23,27 +23,31 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** One call on its connection; all but {@link #cancel} happens on the connection's IO thread. */
+/** A call in progress. All methods except {@link #cancel} run on the I/O thread of the call's connection. */
 public final class RunningCall {
     private static final int READ_BYTES = 8 * 1024;
 
     private final HttpCall call;
     private final HostPort address;
     private final CallListener listener;
-    private final BiConsumer<HostPort, ClientConnection> keeper;
+    private final BiConsumer<HostPort, ClientConnection> idleConnections;
     private final AtomicBoolean ended = new AtomicBoolean();
     private volatile @Nullable ClientConnection connection;
     private volatile boolean cancelled;
     private boolean requestWritten;
 
-    RunningCall(HttpCall call, HostPort address, CallListener listener, BiConsumer<HostPort, ClientConnection> keeper) {
+    RunningCall(
+            HttpCall call,
+            HostPort address,
+            CallListener listener,
+            BiConsumer<HostPort, ClientConnection> idleConnections) {
         this.call = call;
         this.address = address;
         this.listener = listener;
-        this.keeper = keeper;
+        this.idleConnections = idleConnections;
     }
 
-    /** Cuts the call where it still runs; the listener gets {@link CallEnd#CANCELLED}. */
+    /** Cancels the call unless it has ended; the listener receives {@link CallEnd#CANCELLED}. Safe from any thread. */
     public void cancel() {
         cancelled = true;
         ClientConnection open = connection;
@@ -104,7 +108,7 @@
         }
     }
 
-    private void readAnswer(ClientExchange exchange) {
+    private void readResponse(ClientExchange exchange) {
         ClientResponse response = exchange.getResponse();
         listener.onHead(response.getResponseCode(), headersOf(response.getResponseHeaders()));
         StreamSourceChannel channel = exchange.getResponseChannel();
@@ -123,7 +127,7 @@
                     return;
                 }
                 if (count < 0) {
-                    end(CallEnd.WHOLE);
+                    end(CallEnd.COMPLETE);
                     return;
                 }
                 byte[] bytes = new byte[count];
@@ -144,14 +148,14 @@
         listener.onEnd(end);
     }
 
-    /** A connection on which anything was cut short may carry the rest of an old answer, so it is closed. */
+    /** Pools the connection after a complete exchange; otherwise closes it, as it may carry unread response bytes. */
     private void releaseConnection(CallEnd end) {
         ClientConnection open = connection;
         if (open == null) {
             return;
         }
-        if (end == CallEnd.WHOLE && requestWritten) {
-            open.getIoThread().execute(() -> keeper.accept(address, open));
+        if (end == CallEnd.COMPLETE && requestWritten) {
+            open.getIoThread().execute(() -> idleConnections.accept(address, open));
             return;
         }
         IoUtils.safeClose(open);
@@ -168,7 +172,7 @@
     private final class ExchangeStarted implements ClientCallback<ClientExchange> {
         @Override
         public void completed(ClientExchange exchange) {
-            exchange.setResponseListener(new AnswerBegun());
+            exchange.setResponseListener(new ResponseStarted());
             write(exchange.getRequestChannel(), ByteBuffer.wrap(call.body()));
         }
 
@@ -178,10 +182,10 @@
         }
     }
 
-    private final class AnswerBegun implements ClientCallback<ClientExchange> {
+    private final class ResponseStarted implements ClientCallback<ClientExchange> {
         @Override
         public void completed(ClientExchange exchange) {
-            readAnswer(exchange);
+            readResponse(exchange);
         }
 
         @Override
--- a/tool/src/main/java/org/marjoramswitch/tool/http/package-info.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/http/package-info.java
@@ -1,4 +1,4 @@
-/** A caller's HTTP connections, over Undertow's client. */
+/** HTTP client of the load generator and the status commands, built on Undertow's client. */
 @NullMarked
 package org.marjoramswitch.tool.http;
 
--- a/tool/src/main/java/org/marjoramswitch/tool/load/AddressSource.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/AddressSource.java
@@ -5,18 +5,18 @@
 import org.marjoramswitch.daemon.settings.HostPort;
 import org.marjoramswitch.tool.load.Scenario.CustomerLoad;
 
-/** Finds out where a customer's callers may connect. */
+/** Looks up the instances that a customer's callers may connect to. */
 @FunctionalInterface
 public interface AddressSource {
-    /** Gives {@code answer} exactly one answer, from any thread; never blocks. */
-    void ask(CustomerLoad customer, Consumer<AddressAnswer> answer);
+    /** Passes exactly one response to {@code consumer}, on any thread; never blocks. */
+    void fetch(CustomerLoad customer, Consumer<AddressResponse> consumer);
 
-    /** A source that always names the same addresses, for a load on targets without a fleet before them. */
+    /** Returns a source that always gives the same addresses, for a load sent directly to targets. */
     static AddressSource fixed(List<HostPort> addresses) {
-        List<AddressAnswer.Place> places = addresses.stream()
-                .map(address -> new AddressAnswer.Place(address, ""))
+        List<AddressResponse.Endpoint> endpoints = addresses.stream()
+                .map(address -> new AddressResponse.Endpoint(address, ""))
                 .toList();
-        AddressAnswer forever = AddressAnswer.of(places, Long.MAX_VALUE / 2_000_000);
-        return (customer, answer) -> answer.accept(forever);
+        AddressResponse response = AddressResponse.of(endpoints, Long.MAX_VALUE / 2_000_000);
+        return (customer, consumer) -> consumer.accept(response);
     }
 }
--- a/tool/src/main/java/org/marjoramswitch/tool/load/AttemptResult.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/AttemptResult.java
@@ -3,13 +3,13 @@
 import org.marjoramswitch.tool.http.CallEnd;
 
 /**
- * One attempt that has ended.
+ * Result of an attempt that has ended.
  *
- * @param status the HTTP status, 0 where no head was read
- * @param retryAfterMs when the answer says that a retry is worth while; -1 where it says nothing
- * @param firstTokenNs from the attempt's start to a stream's first token, -1 where nothing was streamed
- * @param endedNs the time of the end, on the scale of {@link System#nanoTime}
- * @param detail what was wrong, empty where nothing was
+ * @param status the HTTP status; 0 if no response head was read
+ * @param retryAfterMs the delay of the Retry-After header; -1 if the response has none
+ * @param firstTokenNs time from the attempt's start to the first streamed token; -1 if no token was streamed
+ * @param endedNs end time on the {@link System#nanoTime} clock
+ * @param detail describes the failure; empty for a successful attempt
  */
 public record AttemptResult(
         AttemptVerdict verdict,
@@ -22,17 +22,17 @@
     private static final int TEMPORARY_REDIRECT = 307;
     private static final String KEY_DEAD = "key-dead";
 
-    /** Whether an instance answered that nothing ran, which a failed connection does not. */
+    /** Whether an instance reported that nothing was executed; false for a failed connection. */
     boolean saysNotRun() {
-        return verdict == AttemptVerdict.NOT_RUN && end == CallEnd.WHOLE;
+        return verdict == AttemptVerdict.NOT_RUN && end == CallEnd.COMPLETE;
     }
 
-    /** Whether the key was declared not run, so that only a new one can run. */
+    /** Whether the fleet declared the key not run for good, so that only a new key can be executed. */
     boolean saysKeyDead() {
         return detail.endsWith(KEY_DEAD);
     }
 
-    /** Whether the instance names another one that knows the key. */
+    /** Whether the instance redirects to another instance that knows the key. */
     boolean isRedirect() {
         return status == TEMPORARY_REDIRECT;
     }
--- a/tool/src/main/java/org/marjoramswitch/tool/load/AttemptVerdict.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/AttemptVerdict.java
@@ -1,21 +1,21 @@
 package org.marjoramswitch.tool.load;
 
-/** What one attempt's answer says, judged by the caller alone. */
+/** Classification of an attempt from what its caller observed. */
 public enum AttemptVerdict {
-    /** Whole, and the answer to this request. */
+    /** A complete response that belongs to this request. */
     ANSWERED,
-    /** Refused, and the refusal says that nothing ran. */
+    /** Rejected, with a problem body that says that nothing was executed, or not connected. */
     NOT_RUN,
-    /** Refused or failed, and the problem body says that the outcome is unknown. */
+    /** Rejected or failed without the statement that nothing was executed. */
     UNKNOWN,
-    /** Broken off by the end of the connection. */
+    /** The connection failed before the response was complete. */
     BROKEN,
-    /** Broken off by an error event in the stream. */
+    /** The stream ended with an error event. */
     MARKED,
-    /** No sign of life until the caller's timeout. */
+    /** No byte was received within the caller's timeout. */
     SILENT,
-    /** Framed as complete, but not the whole answer. */
+    /** The framing is complete, but the content is not. */
     TRUNCATED,
-    /** A whole answer that belongs to another request. */
+    /** A complete response that belongs to another request. */
     CROSSED
 }
--- a/tool/src/main/java/org/marjoramswitch/tool/load/BaseLoadListener.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/BaseLoadListener.java
@@ -1,6 +1,6 @@
 package org.marjoramswitch.tool.load;
 
-/** A listener that does nothing. */
+/** Base class of listeners; all methods are empty. */
 public class BaseLoadListener implements LoadListener {
     @Override
     public void onRequest(RequestPlan plan) {}
--- a/tool/src/main/java/org/marjoramswitch/tool/load/Caller.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/Caller.java
@@ -4,43 +4,43 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
-import org.marjoramswitch.tool.load.AddressAnswer.Place;
+import org.marjoramswitch.tool.load.AddressResponse.Endpoint;
 
-/** One of a customer's callers: the address answer that it keeps, and its requests that wait for one. */
+/** One of a customer's callers: its cached address response and the requests that wait for a new one. */
 final class Caller {
     private final List<LoadRun.WaitingForAddress> waiting = new ArrayList<>();
-    private AddressAnswer answer = AddressAnswer.NONE;
-    private long answerEndsNs;
-    private int failedPlaces;
+    private AddressResponse addresses = AddressResponse.NONE;
+    private long addressesExpireNs;
+    private int failedEndpoints;
 
     /**
-     * The place to send a request to: the first of the kept answer, as the fleet put them in order; after a failure
-     * there the next one. Null where a new answer is needed.
+     * Returns the endpoint to send a request to: the first of the cached response, in the fleet's order of preference,
+     * that has not failed. Null if the response has expired or all its endpoints have failed.
      */
     @Nullable
-    Place place(long nowNs) {
-        List<Place> places = answer.places();
-        if (nowNs - answerEndsNs > 0 || failedPlaces >= places.size()) {
+    Endpoint endpoint(long nowNs) {
+        List<Endpoint> endpoints = addresses.endpoints();
+        if (nowNs - addressesExpireNs > 0 || failedEndpoints >= endpoints.size()) {
             return null;
         }
-        return places.get(failedPlaces);
+        return endpoints.get(failedEndpoints);
     }
 
-    /** Turns from a place that could not be reached to the next, unless another request did so already. */
-    void placeFailed(Place failed) {
-        List<Place> places = answer.places();
-        if (failedPlaces < places.size() && places.get(failedPlaces).equals(failed)) {
-            failedPlaces++;
+    /** Moves on from a failed endpoint to the next one, unless another request already did. */
+    void endpointFailed(Endpoint failed) {
+        List<Endpoint> endpoints = addresses.endpoints();
+        if (failedEndpoints < endpoints.size() && endpoints.get(failedEndpoints).equals(failed)) {
+            failedEndpoints++;
         }
     }
 
-    void keepAddress(AddressAnswer newAnswer, long nowNs) {
-        answer = newAnswer;
-        failedPlaces = 0;
-        answerEndsNs = nowNs + TimeUnit.MILLISECONDS.toNanos(newAnswer.keepMs());
+    void cacheAddresses(AddressResponse newAddresses, long nowNs) {
+        addresses = newAddresses;
+        failedEndpoints = 0;
+        addressesExpireNs = nowNs + TimeUnit.MILLISECONDS.toNanos(newAddresses.keepMs());
     }
 
-    /** Keeps the request until an address answer comes; true where the question is still to be asked. */
+    /** Queues the request until an address response arrives; returns true if the caller has yet to request one. */
     boolean waitForAddress(LoadRun.WaitingForAddress request) {
         waiting.add(request);
         return waiting.size() == 1;
--- a/tool/src/main/java/org/marjoramswitch/tool/load/CallerHeaders.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/CallerHeaders.java
@@ -1,14 +1,14 @@
 package org.marjoramswitch.tool.load;
 
-/** Headers of requests that no standard defines. */
+/** Non-standard request headers. */
 final class CallerHeaders {
     /** Read by the fleet: {@code yes} or {@code no}. */
     static final String REPEATABLE = "Repeatable";
 
-    /** Passed on to the targets; stand-in services tell calls apart by it and count the executions of each. */
+    /** Forwarded to the targets; stand-in services count the executions of each call by this header. */
     static final String CALL_KEY = "X-Call-Key";
 
-    /** Read by the fleet: the request's name over all its attempts. */
+    /** Read by the fleet: identifies one execution across all attempts that carry the same key. */
     static final String REQUEST_KEY = "Request-Key";
 
     private CallerHeaders() {}
--- a/tool/src/main/java/org/marjoramswitch/tool/load/CustomerDriver.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/CustomerDriver.java
@@ -6,15 +6,15 @@
 import java.util.stream.Stream;
 import org.marjoramswitch.tool.load.Scenario.CustomerLoad;
 
-/** One customer's side of a load: its requests, its callers, its account. */
+/** Generates one customer's requests and holds its callers and statistics. */
 final class CustomerDriver {
-    /** Callers that each ask for an address of their own and take the customer's requests in turn. */
+    /** Callers per customer; requests are assigned to them round-robin, and each requests its own addresses. */
     static final int CALLERS = 4;
 
     private final CustomerLoad load;
     private final RequestFactory requests;
     private final SplittableRandom arrivals;
-    private final CustomerAccount account = new CustomerAccount();
+    private final CustomerStatistics statistics = new CustomerStatistics();
     private final List<Caller> callers =
             Stream.generate(Caller::new).limit(CALLERS).toList();
     private int callerTurn;
@@ -35,8 +35,8 @@
         return load;
     }
 
-    CustomerAccount account() {
-        return account;
+    CustomerStatistics statistics() {
+        return statistics;
     }
 
     boolean isClosedLoop() {
@@ -44,12 +44,12 @@
     }
 
     OpenRequest nextRequest(long nowNs) {
-        account.madeOne();
+        statistics.recordRequest();
         callerTurn = (callerTurn + 1) % CALLERS;
         return new OpenRequest(requests.next(), this, callers.get(callerTurn), nowNs);
     }
 
-    /** The time to the next arrival of an open loop: exponential, so that arrivals are a Poisson process. */
+    /** Returns the time to the next arrival of an open loop, exponentially distributed (Poisson arrivals). */
     long nextArrivalNs() {
         double seconds = -Math.log(1 - arrivals.nextDouble()) / load.ratePerSecond();
         return (long) (seconds * TimeUnit.SECONDS.toNanos(1));
--- a/tool/src/main/java/org/marjoramswitch/tool/load/CustomerAccount.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/CustomerStatistics.java
@@ -8,59 +8,61 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What one customer's requests came to. The counts belong to the driving thread; the histogram of token gaps is written
- * by IO threads as well.
+ * Counts and latencies of one customer's requests.
+ *
+ * <p>Thread-safety: confined to the thread that drives the load, except for {@link #recordTokenGap}, which I/O threads
+ * call.
  */
-final class CustomerAccount {
+final class CustomerStatistics {
     private static final long HIGHEST_US = TimeUnit.MINUTES.toMicros(10);
     private static final int DIGITS = 3;
 
     private final Map<RequestOutcome, Long> outcomes = new EnumMap<>(RequestOutcome.class);
-    private final Map<String, Long> troubles = new TreeMap<>();
+    private final Map<String, Long> failures = new TreeMap<>();
     private final Histogram firstTokenUs = new Histogram(HIGHEST_US, DIGITS);
     private final Histogram totalUs = new Histogram(HIGHEST_US, DIGITS);
     private final Histogram tokenGapUs = new ConcurrentHistogram(HIGHEST_US, DIGITS);
-    private long made;
+    private long requests;
     private long retries;
 
-    void madeOne() {
-        made++;
+    void recordRequest() {
+        requests++;
     }
 
-    void retried() {
+    void recordRetry() {
         retries++;
     }
 
-    void ended(RequestOutcome outcome) {
+    void recordOutcome(RequestOutcome outcome) {
         outcomes.merge(outcome, 1L, Long::sum);
     }
 
-    /** Counts an attempt that was not answered, by what was wrong with it. */
-    void trouble(AttemptResult result) {
-        troubles.merge(result.verdict() + " " + result.detail(), 1L, Long::sum);
+    /** Counts an attempt that was not answered, by its verdict and detail. */
+    void recordFailure(AttemptResult result) {
+        failures.merge(result.verdict() + " " + result.detail(), 1L, Long::sum);
     }
 
-    void answered(long totalNs) {
+    void recordDuration(long totalNs) {
         record(totalUs, totalNs);
     }
 
-    /** @param firstNs from the request's first attempt to the first token, waiting for retries included */
-    void firstToken(long firstNs) {
+    /** @param firstNs time from the request's creation to the first token, failed attempts and delays included */
+    void recordFirstToken(long firstNs) {
         record(firstTokenUs, firstNs);
     }
 
-    void tokenGap(long gapNs) {
+    void recordTokenGap(long gapNs) {
         record(tokenGapUs, gapNs);
     }
 
-    long made() {
-        return made;
+    long requests() {
+        return requests;
     }
 
     LoadReport.CustomerReport report(String customer) {
         return new LoadReport.CustomerReport(
                 customer,
-                made,
+                requests,
                 count(RequestOutcome.ANSWERED),
                 count(RequestOutcome.REFUSED_NOT_RUN),
                 count(RequestOutcome.UNKNOWN),
@@ -70,7 +72,7 @@
                 LoadReport.Percentiles.of(firstTokenUs),
                 LoadReport.Percentiles.of(tokenGapUs),
                 LoadReport.Percentiles.of(totalUs),
-                new TreeMap<>(troubles));
+                new TreeMap<>(failures));
     }
 
     private long count(RequestOutcome outcome) {
--- a/tool/src/main/java/org/marjoramswitch/tool/load/EventStreamReader.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/EventStreamReader.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** Splits a server-sent event stream into the payloads of its {@code data} lines; comments are passed over. */
+/** Parses a server-sent event stream and passes on the payload of each {@code data} line; ignores all other lines. */
 final class EventStreamReader {
     private static final String DATA = "data:";
 
--- a/tool/src/main/java/org/marjoramswitch/tool/load/HttpAddressSource.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/HttpAddressSource.java
@@ -11,17 +11,17 @@
 import org.marjoramswitch.daemon.settings.HostPort;
 import org.marjoramswitch.tool.http.CallerClient;
 import org.marjoramswitch.tool.http.HttpCall;
-import org.marjoramswitch.tool.http.HttpReply;
+import org.marjoramswitch.tool.http.HttpResponse;
 import org.marjoramswitch.tool.load.Scenario.CustomerLoad;
 
-/** Asks the fleet's instances by {@code GET /v1/address}, the next instance on each question. */
+/** Requests addresses with {@code GET /v1/address} from the fleet's instances, round-robin. */
 public final class HttpAddressSource implements AddressSource {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long ASK_TIMEOUT_MS = 2_000;
+    private static final long REQUEST_TIMEOUT_MS = 2_000;
 
     private final CallerClient client;
     private final List<HostPort> instances;
-    private final AtomicInteger turn = new AtomicInteger();
+    private final AtomicInteger nextInstance = new AtomicInteger();
 
     private HttpAddressSource(CallerClient client, List<HostPort> instances) {
         this.client = client;
@@ -33,26 +33,27 @@
     }
 
     @Override
-    public void ask(CustomerLoad customer, Consumer<AddressAnswer> answer) {
-        HostPort instance = instances.get(Math.floorMod(turn.getAndIncrement(), instances.size()));
+    public void fetch(CustomerLoad customer, Consumer<AddressResponse> consumer) {
+        HostPort instance = instances.get(Math.floorMod(nextInstance.getAndIncrement(), instances.size()));
         HttpCall call = HttpCall.get("/v1/address", Map.of("Authorization", "Bearer " + customer.apiKey()));
-        var unused = client.ask(instance, call, ASK_TIMEOUT_MS).thenAccept(reply -> answer.accept(read(reply)));
+        var unused = client.execute(instance, call, REQUEST_TIMEOUT_MS)
+                .thenAccept(response -> consumer.accept(read(response)));
     }
 
-    private static AddressAnswer read(HttpReply reply) {
-        if (!reply.isOk()) {
-            return AddressAnswer.NONE;
+    private static AddressResponse read(HttpResponse response) {
+        if (!response.isOk()) {
+            return AddressResponse.NONE;
         }
         try {
-            JsonNode body = JSON.readTree(reply.body());
-            List<AddressAnswer.Place> places = new ArrayList<>();
+            JsonNode body = JSON.readTree(response.body());
+            List<AddressResponse.Endpoint> endpoints = new ArrayList<>();
             body.path("instances")
-                    .forEach(instance -> places.add(new AddressAnswer.Place(
+                    .forEach(instance -> endpoints.add(new AddressResponse.Endpoint(
                             HostPort.parse(instance.path("address").asText()),
                             instance.path("requestKeyPrefix").asText())));
-            return AddressAnswer.of(places, body.path("keepMs").asLong());
+            return AddressResponse.of(endpoints, body.path("keepMs").asLong());
         } catch (JsonProcessingException | IllegalArgumentException malformed) {
-            return AddressAnswer.NONE;
+            return AddressResponse.NONE;
         }
     }
 }
--- a/tool/src/main/java/org/marjoramswitch/tool/load/LoadListener.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/LoadListener.java
@@ -1,11 +1,11 @@
 package org.marjoramswitch.tool.load;
 
-/** Observes a load; called by the driving thread and never blocks. */
+/** Observes a load. Called on the thread that drives the load; implementations must not block. */
 public interface LoadListener {
-    /** A request is now outstanding; called once, whatever its retries. */
+    /** Called once per request, before its first attempt. */
     void onRequest(RequestPlan plan);
 
-    /** A request is no longer outstanding; {@code last} is its last attempt. */
+    /** Called once per request when it has ended; {@code last} is the result of its last attempt. */
     void onOutcome(RequestPlan plan, RequestOutcome outcome, AttemptResult last);
 
     /** Called about once a second. */
--- a/tool/src/main/java/org/marjoramswitch/tool/load/LoadReport.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/LoadReport.java
@@ -6,9 +6,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a load came to, by customer.
+ * Results of a load by customer.
  *
- * @param notMade requests of open-loop customers that fell due while the limit of outstanding requests was reached
+ * @param notMade open-loop arrivals that were dropped because the limit of outstanding requests was reached
  */
 public record LoadReport(String scenario, long seed, long durationMs, long notMade, List<CustomerReport> customers) {
     public long requests() {
@@ -44,9 +44,9 @@
     }
 
     /**
-     * One customer's part. The five outcomes add up to {@code requests}.
+     * Results of one customer. The five outcomes add up to {@code requests}.
      *
-     * @param troubles attempts that were not answered, retried ones included, by what was wrong
+     * @param troubles number of failed attempts, retried ones included, by verdict and detail
      */
     public record CustomerReport(
             String customer,
@@ -62,7 +62,7 @@
             Percentiles total,
             Map<String, Long> troubles) {}
 
-    /** Percentiles of a time; all 0 where {@code count} is. */
+    /** Percentiles of a duration; all 0 if {@code count} is 0. */
     public record Percentiles(long count, double p50Ms, double p95Ms, double p99Ms, double maxMs) {
         private static final double MICROS_PER_MILLI = 1_000.0;
 
--- a/tool/src/main/java/org/marjoramswitch/tool/load/LoadReportText.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/LoadReportText.java
@@ -5,7 +5,7 @@
 import org.marjoramswitch.tool.load.LoadReport.CustomerReport;
 import org.marjoramswitch.tool.load.LoadReport.Percentiles;
 
-/** Sets a report as text: a line for each customer, what went wrong, and one summary line. */
+/** Formats a report as text: a table row per customer, a line per kind of failed attempt, and a summary line. */
 public final class LoadReportText {
     private LoadReportText() {}
 
@@ -28,7 +28,7 @@
         return text.append(summary(report)).append('\n').toString();
     }
 
-    /** One line of key=value pairs. */
+    /** Returns the totals as one line of key=value pairs. */
     public static String summary(LoadReport report) {
         return "event=load_summary scenario=" + report.scenario() + " seed=" + report.seed() + " duration_ms="
                 + report.durationMs() + " requests=" + report.requests() + " answered=" + report.answered()
--- a/tool/src/main/java/org/marjoramswitch/tool/load/LoadRun.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/LoadRun.java
@@ -10,18 +10,18 @@
 import java.util.function.LongConsumer;
 import org.marjoramswitch.tool.http.CallEnd;
 import org.marjoramswitch.tool.http.CallerClient;
-import org.marjoramswitch.tool.load.AddressAnswer.Place;
+import org.marjoramswitch.tool.load.AddressResponse.Endpoint;
 
 /**
- * Runs one load. One thread, that of {@link #run}, makes the requests, decides on retries and keeps the accounts; the
- * connections' IO threads read the answers and hand over each attempt's end by a bounded ring.
+ * Runs one load. The thread that calls {@link #run} creates the requests, decides on retries and records statistics.
+ * The connections' I/O threads read the responses and pass each attempt's result to it through a bounded queue.
  *
- * <p>The ring holds one place for each request that may be outstanding and one for each caller's address question, and
- * each of them has at most one event under way, so it is never full. What bounds the outstanding requests is
- * {@link #MAX_OUTSTANDING}: an open-loop arrival beyond it is not made, and counted.
+ * <p>Queue bound: the queue has one slot for each request that may be outstanding and one for each caller's address
+ * request. Each of these has at most one event in flight, so the queue is never full. At {@link #MAX_OUTSTANDING}
+ * outstanding requests, further open-loop arrivals are dropped and counted.
  *
- * <p>The run ends when its time is over and every request has ended. Each attempt ends within the caller's timeout after
- * its last sign of life, and attempts are limited, so the run ends whatever the fleet does.
+ * <p>Termination: the run ends when its time is over and every request has ended. Each attempt ends within the caller's
+ * timeout after its last received byte, and the number of attempts is limited, so the run ends whatever the fleet does.
  */
 public final class LoadRun {
     static final int MAX_OUTSTANDING = 4_000;
@@ -34,11 +34,11 @@
     private final Scenario scenario;
     private final AddressSource addresses;
     private final CallerClient client;
-    private final AnswerCheck answerCheck;
+    private final ResponseCheck responseCheck;
     private final LoadListener listener;
-    private final RetryRule retryRule;
+    private final RetryPolicy retryPolicy;
     private final List<CustomerDriver> customers;
-    private final BlockingQueue<LongConsumer> ring;
+    private final BlockingQueue<LongConsumer> events;
     private final Timers timers = new Timers();
     private final Set<OpenRequest> open = new LinkedHashSet<>();
     private long startedNs;
@@ -49,52 +49,52 @@
             Scenario scenario,
             AddressSource addresses,
             CallerClient client,
-            AnswerCheck answerCheck,
+            ResponseCheck responseCheck,
             LoadListener listener,
             String runId) {
-        this.answerCheck = answerCheck;
+        this.responseCheck = responseCheck;
         this.scenario = scenario;
         this.addresses = addresses;
         this.client = client;
         this.listener = listener;
-        this.retryRule = RetryRule.standard(scenario.maxAttempts(), BACKOFF_MS);
+        this.retryPolicy = RetryPolicy.standard(scenario.maxAttempts(), BACKOFF_MS);
         this.customers = scenario.customers().stream()
                 .map(load -> CustomerDriver.of(load, scenario.seed(), runId))
                 .toList();
-        this.ring = new ArrayBlockingQueue<>(MAX_OUTSTANDING + customers.size() * CustomerDriver.CALLERS);
+        this.events = new ArrayBlockingQueue<>(MAX_OUTSTANDING + customers.size() * CustomerDriver.CALLERS);
     }
 
-    /** @param runId begins each request's id */
+    /** @param runId prefix of each request's id */
     public static LoadRun of(
             Scenario scenario,
             AddressSource addresses,
             CallerClient client,
-            AnswerCheck answerCheck,
+            ResponseCheck responseCheck,
             LoadListener listener,
             String runId) {
-        return new LoadRun(scenario, addresses, client, answerCheck, listener, runId);
+        return new LoadRun(scenario, addresses, client, responseCheck, listener, runId);
     }
 
-    /** Runs the load to its end; an interrupt ends it early by leaving the open requests uncounted. */
+    /** Blocks until the load has ended. An interrupt aborts it without a report. */
     public LoadReport run() throws InterruptedException {
         startedNs = System.nanoTime();
-        customers.forEach(this::begin);
-        timers.at(startedNs + PROGRESS_NS, this::progress);
+        customers.forEach(this::startCustomer);
+        timers.at(startedNs + PROGRESS_NS, this::reportProgress);
         timers.at(startedNs + SILENCE_CHECK_NS, this::checkSilence);
         long nowNs = startedNs;
         while (!isOver(nowNs) || !open.isEmpty()) {
-            LongConsumer event = ring.poll(timers.waitNs(nowNs, SILENCE_CHECK_NS), TimeUnit.NANOSECONDS);
+            LongConsumer event = events.poll(timers.waitNs(nowNs, SILENCE_CHECK_NS), TimeUnit.NANOSECONDS);
             nowNs = System.nanoTime();
             while (event != null) {
                 event.accept(nowNs);
-                event = ring.poll();
+                event = events.poll();
             }
             timers.runDue(nowNs);
         }
         return report(nowNs);
     }
 
-    private void begin(CustomerDriver customer) {
+    private void startCustomer(CustomerDriver customer) {
         if (!customer.isClosedLoop()) {
             timers.at(startedNs + customer.nextArrivalNs(), nowNs -> arrive(customer, nowNs));
             return;
@@ -124,45 +124,46 @@
         send(request, nowNs);
     }
 
-    /** Sends the request as an execution of its own. */
+    /** Sends the request as a new execution, with a new key. */
     private void send(OpenRequest request, long nowNs) {
-        withPlace(request, nowNs, (place, later) -> {
-            request.renewKey(place);
-            attempt(request, place, later);
+        withEndpoint(request, nowNs, (endpoint, later) -> {
+            request.renewKey(endpoint);
+            attempt(request, endpoint, later);
         });
     }
 
-    /** Gives the action a place at once, or as soon as an address answer has come. */
-    private void withPlace(OpenRequest request, long nowNs, PlaceAction action) {
+    /** Runs the action with an endpoint, immediately or when an address response arrives. */
+    private void withEndpoint(OpenRequest request, long nowNs, EndpointAction action) {
         Caller caller = request.caller();
-        Place place = caller.place(nowNs);
-        if (place != null) {
-            action.accept(place, nowNs);
+        Endpoint endpoint = caller.endpoint(nowNs);
+        if (endpoint != null) {
+            action.accept(endpoint, nowNs);
             return;
         }
         if (caller.waitForAddress(new WaitingForAddress(request, action))) {
-            addresses.ask(request.customer().load(), answer -> ring.add(later -> addressCame(caller, answer, later)));
+            addresses.fetch(
+                    request.customer().load(), response -> events.add(later -> onAddresses(caller, response, later)));
         }
     }
 
-    private void attempt(OpenRequest request, Place place, long nowNs) {
-        request.countAttempt(place, nowNs);
-        AnswerReader reader = new AnswerReader(
+    private void attempt(OpenRequest request, Endpoint endpoint, long nowNs) {
+        request.countAttempt(endpoint, nowNs);
+        ResponseReader reader = new ResponseReader(
                 request.plan(),
-                answerCheck,
+                responseCheck,
                 nowNs,
                 System::nanoTime,
-                request.customer().account()::tokenGap,
-                result -> ring.add(later -> attemptEnded(request, result, later)));
-        request.attemptRuns(reader, client.start(place.address(), request.callWithKey(), reader));
+                request.customer().statistics()::recordTokenGap,
+                result -> events.add(later -> attemptEnded(request, result, later)));
+        request.attemptStarted(reader, client.start(endpoint.address(), request.callWithKey(), reader));
     }
 
-    private void addressCame(Caller caller, AddressAnswer answer, long nowNs) {
-        caller.keepAddress(answer, nowNs);
+    private void onAddresses(Caller caller, AddressResponse response, long nowNs) {
+        caller.cacheAddresses(response, nowNs);
         for (WaitingForAddress waiting : caller.takeWaiting()) {
-            Place place = caller.place(nowNs);
-            if (place != null) {
-                waiting.action().accept(place, nowNs);
+            Endpoint endpoint = caller.endpoint(nowNs);
+            if (endpoint != null) {
+                waiting.action().accept(endpoint, nowNs);
             } else {
                 waiting.request().countAttempt(null, nowNs);
                 attemptEnded(waiting.request(), noAddress(nowNs), nowNs);
@@ -178,42 +179,42 @@
         request.attemptEnded(result);
         CustomerDriver customer = request.customer();
         if (result.verdict() == AttemptVerdict.ANSWERED) {
-            countAnswer(request, result);
+            recordResponse(request, result);
             end(request, result, nowNs);
             return;
         }
-        customer.account().trouble(result);
-        Place place = request.attemptPlace();
-        if (place != null && (result.status() == 0 || result.status() == SERVICE_UNAVAILABLE)) {
-            request.caller().placeFailed(place);
+        customer.statistics().recordFailure(result);
+        Endpoint endpoint = request.attemptEndpoint();
+        if (endpoint != null && (result.status() == 0 || result.status() == SERVICE_UNAVAILABLE)) {
+            request.caller().endpointFailed(endpoint);
         }
-        RetryRule.Next next = retryRule.next(request, result);
-        if (next.step() == RetryRule.Step.STOP) {
+        RetryPolicy.Next next = retryPolicy.next(request, result);
+        if (next.step() == RetryPolicy.Step.STOP) {
             end(request, result, nowNs);
             return;
         }
-        customer.account().retried();
+        customer.statistics().recordRetry();
         timers.at(nowNs + TimeUnit.MILLISECONDS.toNanos(next.delayMs()), later -> retry(request, next.step(), later));
     }
 
-    private void retry(OpenRequest request, RetryRule.Step step, long nowNs) {
-        if (step == RetryRule.Step.NEW_KEY) {
+    private void retry(OpenRequest request, RetryPolicy.Step step, long nowNs) {
+        if (step == RetryPolicy.Step.NEW_KEY) {
             send(request, nowNs);
             return;
         }
-        Place home = request.reachableHome();
+        Endpoint home = request.reachableHome();
         if (home != null) {
             attempt(request, home, nowNs);
             return;
         }
-        withPlace(request, nowNs, (place, later) -> attempt(request, place, later));
+        withEndpoint(request, nowNs, (endpoint, later) -> attempt(request, endpoint, later));
     }
 
-    private static void countAnswer(OpenRequest request, AttemptResult result) {
-        CustomerAccount account = request.customer().account();
-        account.answered(result.endedNs() - request.startedNs());
+    private static void recordResponse(OpenRequest request, AttemptResult result) {
+        CustomerStatistics statistics = request.customer().statistics();
+        statistics.recordDuration(result.endedNs() - request.startedNs());
         if (result.firstTokenNs() >= 0) {
-            account.firstToken(request.attemptStartedNs() - request.startedNs() + result.firstTokenNs());
+            statistics.recordFirstToken(request.attemptStartedNs() - request.startedNs() + result.firstTokenNs());
         }
     }
 
@@ -221,26 +222,26 @@
         RequestOutcome outcome = RequestOutcome.of(last.verdict(), request.mayHaveRun());
         CustomerDriver customer = request.customer();
         open.remove(request);
-        customer.account().ended(outcome);
+        customer.statistics().recordOutcome(outcome);
         listener.onOutcome(request.plan(), outcome, last);
         if (!customer.isClosedLoop()) {
             return;
         }
-        // Without the pause a fleet that refuses at once would be asked in a tight loop.
+        // Without the pause, a fleet that rejects immediately would be sent requests in a tight loop.
         long pauseNs = outcome == RequestOutcome.ANSWERED ? 0 : PAUSE_AFTER_FAILURE_NS;
         timers.at(nowNs + pauseNs, later -> launch(customer, later));
     }
 
     private void checkSilence(long nowNs) {
         long sinceNs = nowNs - TimeUnit.MILLISECONDS.toNanos(scenario.answerTimeoutMs());
-        List.copyOf(open).forEach(request -> request.cutIfSilentSince(sinceNs));
+        List.copyOf(open).forEach(request -> request.cancelIfSilentSince(sinceNs));
         timers.at(nowNs + SILENCE_CHECK_NS, this::checkSilence);
     }
 
-    private void progress(long nowNs) {
+    private void reportProgress(long nowNs) {
         long elapsedMs = TimeUnit.NANOSECONDS.toMillis(nowNs - startedNs);
         listener.onProgress(elapsedMs, made, made - open.size(), open.size());
-        timers.at(nowNs + PROGRESS_NS, this::progress);
+        timers.at(nowNs + PROGRESS_NS, this::reportProgress);
     }
 
     private boolean isOver(long nowNs) {
@@ -249,19 +250,19 @@
 
     private LoadReport report(long nowNs) {
         List<LoadReport.CustomerReport> reports = customers.stream()
-                .map(customer -> customer.account().report(customer.load().customer()))
+                .map(customer -> customer.statistics().report(customer.load().customer()))
                 .sorted(Comparator.comparing(LoadReport.CustomerReport::customer))
                 .toList();
         long durationMs = TimeUnit.NANOSECONDS.toMillis(nowNs - startedNs);
         return new LoadReport(scenario.name(), scenario.seed(), durationMs, notMade, reports);
     }
 
-    /** What is to be done with a place. */
+    /** Action that needs an endpoint. */
     @FunctionalInterface
-    interface PlaceAction {
-        void accept(Place place, long nowNs);
+    interface EndpointAction {
+        void accept(Endpoint endpoint, long nowNs);
     }
 
-    /** A request that waits for an address answer, and what is done then. */
-    record WaitingForAddress(OpenRequest request, PlaceAction action) {}
+    /** A request that waits for an address response, and the action to run then. */
+    record WaitingForAddress(OpenRequest request, EndpointAction action) {}
 }
--- a/tool/src/main/java/org/marjoramswitch/tool/load/LogNormal.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/LogNormal.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** A log-normal distribution of whole numbers, cut to 1 at the least and {@code max} at the most. */
+/** Log-normal distribution of integers, clamped to the range 1 to {@code max}. */
 public record LogNormal(long median, double sigma, long max) {
     public static LogNormal of(long median, double sigma, long max) {
         return new LogNormal(median, sigma, max);
--- a/tool/src/main/java/org/marjoramswitch/tool/load/OpenRequest.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/OpenRequest.java
@@ -7,13 +7,15 @@
 import org.marjoramswitch.tool.http.CallEnd;
 import org.marjoramswitch.tool.http.HttpCall;
 import org.marjoramswitch.tool.http.RunningCall;
-import org.marjoramswitch.tool.load.AddressAnswer.Place;
+import org.marjoramswitch.tool.load.AddressResponse.Endpoint;
 
 /**
- * A request that has not ended, its key and its running attempt; confined to the driving thread.
+ * State of a request that has not ended: its key, its number of attempts and its running attempt. Confined to the
+ * thread that drives the load.
  *
- * <p>A key names one execution. While attempts carry the same key, what the fleet says of the key holds for all of them:
- * a "not run" settles earlier silence. With a new key the earlier attempts stay in the dark for good.
+ * <p>A key identifies one execution. What the fleet reports about a key holds for all attempts that carried it: a "not
+ * run" also resolves earlier attempts that got no response. After a change of key, unresolved attempts with the former
+ * key stay unknown.
  */
 final class OpenRequest {
     private final RequestPlan plan;
@@ -23,13 +25,13 @@
     private int attempts;
     private int keys;
     private String key = "";
-    private @Nullable Place home;
-    private @Nullable Place attemptPlace;
+    private @Nullable Endpoint home;
+    private @Nullable Endpoint attemptEndpoint;
     private boolean homeUnreachable;
-    private boolean keyInDoubt;
-    private boolean formerKeyInDoubt;
+    private boolean keyOutcomeUnknown;
+    private boolean formerKeyOutcomeUnknown;
     private long attemptStartedNs;
-    private @Nullable AnswerReader reader;
+    private @Nullable ResponseReader reader;
     private @Nullable RunningCall call;
 
     OpenRequest(RequestPlan plan, CustomerDriver customer, Caller caller, long startedNs) {
@@ -63,39 +65,39 @@
         return attemptStartedNs;
     }
 
-    /** Whether the request has a key, by which another attempt may ask for the same execution. */
+    /** Whether the request has a key, so that a further attempt can refer to the same execution. */
     boolean isKeyed() {
         return !key.isEmpty();
     }
 
-    /** Whether some attempt may have been executed, as far as the caller was told. */
+    /** Whether any attempt may have been executed, according to the fleet's responses. */
     boolean mayHaveRun() {
-        return keyInDoubt || formerKeyInDoubt;
+        return keyOutcomeUnknown || formerKeyOutcomeUnknown;
     }
 
-    /** Where the key's execution is known; null where no connection could be opened to it. */
+    /** Returns the key's home instance; null if it has none or a connection to it could not be opened. */
     @Nullable
-    Place reachableHome() {
+    Endpoint reachableHome() {
         return homeUnreachable ? null : home;
     }
 
-    /** Where the last attempt was sent; null where there was no place to send it to. */
+    /** Returns the endpoint of the last attempt; null if there was none to send it to. */
     @Nullable
-    Place attemptPlace() {
-        return attemptPlace;
+    Endpoint attemptEndpoint() {
+        return attemptEndpoint;
     }
 
-    /** Takes a new key of this place, so that the next attempt is an execution of its own. */
-    void renewKey(Place place) {
-        formerKeyInDoubt |= keyInDoubt;
-        keyInDoubt = false;
+    /** Creates a new key with this endpoint as its home, so that the next attempt is a separate execution. */
+    void renewKey(Endpoint endpoint) {
+        formerKeyOutcomeUnknown |= keyOutcomeUnknown;
+        keyOutcomeUnknown = false;
         keys++;
-        home = place;
+        home = endpoint;
         homeUnreachable = false;
-        key = place.requestKeyPrefix().isEmpty() ? "" : place.requestKeyPrefix() + plan.requestId() + "-" + keys;
+        key = endpoint.requestKeyPrefix().isEmpty() ? "" : endpoint.requestKeyPrefix() + plan.requestId() + "-" + keys;
     }
 
-    /** The HTTP request of the next attempt. */
+    /** Returns the HTTP request of the next attempt, with the key header if there is a key. */
     HttpCall callWithKey() {
         if (key.isEmpty()) {
             return plan.call();
@@ -106,13 +108,13 @@
                 plan.call().method(), plan.call().path(), headers, plan.call().body());
     }
 
-    void countAttempt(@Nullable Place place, long nowNs) {
+    void countAttempt(@Nullable Endpoint endpoint, long nowNs) {
         attempts++;
-        attemptPlace = place;
+        attemptEndpoint = endpoint;
         attemptStartedNs = nowNs;
     }
 
-    void attemptRuns(AnswerReader newReader, RunningCall newCall) {
+    void attemptStarted(ResponseReader newReader, RunningCall newCall) {
         reader = newReader;
         call = newCall;
     }
@@ -120,22 +122,22 @@
     void attemptEnded(AttemptResult result) {
         reader = null;
         call = null;
-        homeUnreachable |= result.end() == CallEnd.NOT_CONNECTED && Objects.equals(attemptPlace, home);
+        homeUnreachable |= result.end() == CallEnd.NOT_CONNECTED && Objects.equals(attemptEndpoint, home);
         if (result.saysNotRun()) {
-            keyInDoubt = false;
+            keyOutcomeUnknown = false;
         } else if (result.verdict() != AttemptVerdict.NOT_RUN) {
-            keyInDoubt = true;
+            keyOutcomeUnknown = true;
         }
     }
 
-    /** Cuts the running attempt where nothing came since {@code sinceNs}. */
-    void cutIfSilentSince(long sinceNs) {
-        AnswerReader runningReader = reader;
+    /** Cancels the running attempt if no byte was received since {@code sinceNs}. */
+    void cancelIfSilentSince(long sinceNs) {
+        ResponseReader runningReader = reader;
         RunningCall runningCall = call;
         if (runningReader == null || runningCall == null) {
             return;
         }
-        if (runningReader.lastSignNs() - sinceNs < 0) {
+        if (runningReader.lastReceivedNs() - sinceNs < 0) {
             runningCall.cancel();
         }
     }
--- a/tool/src/main/java/org/marjoramswitch/tool/load/ProgressPrinter.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/ProgressPrinter.java
@@ -2,7 +2,7 @@
 
 import java.io.PrintStream;
 
-/** Prints a line of progress about once a second. */
+/** Prints a progress line about once a second. */
 public final class ProgressPrinter extends BaseLoadListener {
     private final PrintStream out;
 
--- a/tool/src/main/java/org/marjoramswitch/tool/load/RequestFactory.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/RequestFactory.java
@@ -12,8 +12,8 @@
 import org.marjoramswitch.tool.load.Scenario.ServiceLoad;
 
 /**
- * Makes one customer's requests in order. The n-th request depends on the scenario's seed, the customer and n only, so
- * that two runs ask for the same however their answers come.
+ * Generates one customer's sequence of requests. The n-th request depends only on the scenario's seed, the customer and
+ * n, so two runs send the same requests regardless of the order of the responses; only the run id in them differs.
  */
 final class RequestFactory {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -21,7 +21,7 @@
     private static final int DEFAULT_URGENCY = 3;
     private static final String WORD = "word ";
 
-    /** Makes the part of the prompt that a customer's requests share longer than an engine's shortest cached prefix. */
+    /** Makes the prompt prefix that a customer's requests share longer than an engine's shortest cacheable prefix. */
     private static final int PREAMBLE_SENTENCES = 8;
 
     private final CustomerLoad customer;
@@ -37,7 +37,7 @@
         this.preamble = ("You answer for " + customer.customer() + " and nobody else. ").repeat(PREAMBLE_SENTENCES);
     }
 
-    /** @param runId tells the ids of this run from those of another against the same targets */
+    /** @param runId distinguishes the request ids of this run from those of other runs against the same targets */
     static RequestFactory of(CustomerLoad customer, long seed, String runId) {
         long ownSeed = seed * 31 + customer.customer().hashCode();
         return new RequestFactory(customer, new SplittableRandom(ownSeed), runId + "-" + customer.customer());
--- a/tool/src/main/java/org/marjoramswitch/tool/load/RequestOutcome.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/RequestOutcome.java
@@ -1,6 +1,6 @@
 package org.marjoramswitch.tool.load;
 
-/** What became of a request in the end, after all its attempts. */
+/** Final outcome of a request after all its attempts. */
 public enum RequestOutcome {
     ANSWERED,
     REFUSED_NOT_RUN,
@@ -8,7 +8,7 @@
     BROKEN,
     LOST;
 
-    /** @param mayHaveRun whether an attempt may have been executed, as far as the caller was told */
+    /** @param mayHaveRun whether any attempt may have been executed, according to the fleet's responses */
     static RequestOutcome of(AttemptVerdict last, boolean mayHaveRun) {
         return switch (last) {
             case ANSWERED -> ANSWERED;
--- a/tool/src/main/java/org/marjoramswitch/tool/load/RequestPlan.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/RequestPlan.java
@@ -3,14 +3,14 @@
 import org.marjoramswitch.tool.http.HttpCall;
 
 /**
- * One request, made before it is sent; every attempt sends the same bytes.
+ * A generated request. Every attempt sends the same method, path, body and headers, apart from the request key.
  *
- * @param requestId unique within the run; the answer must carry it
- * @param repeatable whether an attempt whose outcome is unknown may be followed by another
+ * @param requestId unique within the run; a plain service echoes it in its response
+ * @param repeatable whether the request may be executed again after an attempt with an unknown outcome
  */
 public record RequestPlan(
         String requestId, String customer, Kind kind, boolean streaming, boolean repeatable, HttpCall call) {
-    /** What the request asks for. */
+    /** Kind of target that the request is for. */
     public enum Kind {
         MODEL,
         SERVICE
--- a/tool/src/main/java/org/marjoramswitch/tool/load/AnswerReader.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/ResponseReader.java
@@ -14,18 +14,19 @@
 import org.marjoramswitch.tool.http.CallListener;
 
 /**
- * Reads one attempt's answer and judges it.
+ * Reads the response to one attempt and classifies it.
  *
- * <p>A model's answer is whole when it names why it finished and, in a stream, when the end mark came; a service's
- * answer when its framed body ended. Whether it is this request's answer is the {@link AnswerCheck}'s to say. Confined
- * to the connection's IO thread, but for {@link #lastSignNs}.
+ * <p>A model's response is complete if it has a finish reason and, when streamed, the {@code [DONE]} event; a service's
+ * response is complete at the end of its framing. The {@link ResponseCheck} decides whether it belongs to this request.
+ *
+ * <p>Thread-safety: confined to the connection's I/O thread, except for {@link #lastReceivedNs}.
  */
-final class AnswerReader implements CallListener {
+final class ResponseReader implements CallListener {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MILLIS_PER_SECOND = 1_000;
 
     private final RequestPlan plan;
-    private final AnswerCheck answerCheck;
+    private final ResponseCheck responseCheck;
     private final long startedNs;
     private final LongSupplier clockNs;
     private final LongConsumer tokenGapsNs;
@@ -33,7 +34,7 @@
     private final EventStreamReader events = new EventStreamReader(this::onEvent);
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final StringBuilder content = new StringBuilder();
-    private volatile long lastSignNs;
+    private volatile long lastReceivedNs;
     private int status;
     private Map<String, String> headers = Map.of();
     private boolean eventStream;
@@ -43,30 +44,30 @@
     private long firstTokenNs = -1;
     private long lastTokenNs;
 
-    AnswerReader(
+    ResponseReader(
             RequestPlan plan,
-            AnswerCheck answerCheck,
+            ResponseCheck responseCheck,
             long startedNs,
             LongSupplier clockNs,
             LongConsumer tokenGapsNs,
             Consumer<AttemptResult> results) {
         this.plan = plan;
-        this.answerCheck = answerCheck;
+        this.responseCheck = responseCheck;
         this.startedNs = startedNs;
-        this.lastSignNs = startedNs;
+        this.lastReceivedNs = startedNs;
         this.clockNs = clockNs;
         this.tokenGapsNs = tokenGapsNs;
         this.results = results;
     }
 
-    /** When the last byte of the answer came; the attempt's start where none did. Read by any thread. */
-    long lastSignNs() {
-        return lastSignNs;
+    /** Time of the last received byte, or the start of the attempt if there was none. Safe from any thread. */
+    long lastReceivedNs() {
+        return lastReceivedNs;
     }
 
     @Override
     public void onHead(int newStatus, Map<String, String> newHeaders) {
-        lastSignNs = clockNs.getAsLong();
+        lastReceivedNs = clockNs.getAsLong();
         status = newStatus;
         headers = newHeaders;
         eventStream = newHeaders.getOrDefault("content-type", "").startsWith("text/event-stream");
@@ -74,7 +75,7 @@
 
     @Override
     public void onBytes(byte[] bytes) {
-        lastSignNs = clockNs.getAsLong();
+        lastReceivedNs = clockNs.getAsLong();
         if (eventStream) {
             events.take(bytes);
             return;
@@ -84,15 +85,15 @@
 
     @Override
     public void onEnd(CallEnd end) {
-        Judgement judgement = judge(end);
+        Classification classification = classify(end);
         results.accept(new AttemptResult(
-                judgement.verdict(),
+                classification.verdict(),
                 end,
                 status,
                 retryAfterMs(),
                 firstTokenNs,
                 clockNs.getAsLong(),
-                judgement.detail()));
+                classification.detail()));
     }
 
     private void onEvent(String payload) {
@@ -116,7 +117,7 @@
     }
 
     private void onToken() {
-        long nowNs = lastSignNs;
+        long nowNs = lastReceivedNs;
         if (firstTokenNs < 0) {
             firstTokenNs = nowNs - startedNs;
         } else {
@@ -125,60 +126,61 @@
         lastTokenNs = nowNs;
     }
 
-    private Judgement judge(CallEnd end) {
+    private Classification classify(CallEnd end) {
         return switch (end) {
-            case NOT_CONNECTED -> Judgement.of(AttemptVerdict.NOT_RUN, "not connected");
-            case CANCELLED -> Judgement.of(AttemptVerdict.SILENT, "silent");
-            case BROKEN -> Judgement.of(AttemptVerdict.BROKEN, "connection broke, status " + status);
-            case WHOLE -> judgeWhole();
+            case NOT_CONNECTED -> Classification.of(AttemptVerdict.NOT_RUN, "not connected");
+            case CANCELLED -> Classification.of(AttemptVerdict.SILENT, "silent");
+            case BROKEN -> Classification.of(AttemptVerdict.BROKEN, "connection broke, status " + status);
+            case COMPLETE -> classifyComplete();
         };
     }
 
-    private Judgement judgeWhole() {
+    private Classification classifyComplete() {
         if (status != 200) {
-            return judgeProblem(parse(body.toString(StandardCharsets.UTF_8)));
+            return classifyProblem(parse(body.toString(StandardCharsets.UTF_8)));
         }
         if (streamError != null) {
-            return Judgement.of(AttemptVerdict.MARKED, streamError.path("type").asText("error event"));
+            return Classification.of(
+                    AttemptVerdict.MARKED, streamError.path("type").asText("error event"));
         }
         if (plan.streaming() != eventStream) {
-            return Judgement.of(AttemptVerdict.TRUNCATED, "wrong content type");
+            return Classification.of(AttemptVerdict.TRUNCATED, "wrong content type");
         }
-        return eventStream ? judgeContent(finished && endMark, content.toString()) : judgeBody();
+        return eventStream ? classifyContent(finished && endMark, content.toString()) : classifyBody();
     }
 
-    private Judgement judgeBody() {
+    private Classification classifyBody() {
         String text = body.toString(StandardCharsets.UTF_8);
         if (plan.kind() == RequestPlan.Kind.SERVICE) {
-            return judgeContent(true, text);
+            return classifyContent(true, text);
         }
-        JsonNode answer = parse(text);
-        if (answer == null) {
-            return Judgement.of(AttemptVerdict.TRUNCATED, "body is not JSON");
+        JsonNode response = parse(text);
+        if (response == null) {
+            return Classification.of(AttemptVerdict.TRUNCATED, "body is not JSON");
         }
-        JsonNode choice = answer.path("choices").path(0);
-        boolean whole = choice.path("finish_reason").isTextual();
-        return judgeContent(whole, choice.path("message").path("content").asText(""));
+        JsonNode choice = response.path("choices").path(0);
+        boolean complete = choice.path("finish_reason").isTextual();
+        return classifyContent(complete, choice.path("message").path("content").asText(""));
     }
 
-    private Judgement judgeContent(boolean whole, String text) {
-        if (!whole) {
-            return Judgement.of(AttemptVerdict.TRUNCATED, "no end mark after " + text.length() + " characters");
+    private Classification classifyContent(boolean complete, String text) {
+        if (!complete) {
+            return Classification.of(AttemptVerdict.TRUNCATED, "no end mark after " + text.length() + " characters");
         }
-        return switch (answerCheck.check(plan, text)) {
-            case OWN -> Judgement.of(AttemptVerdict.ANSWERED, "");
-            case PART -> Judgement.of(AttemptVerdict.TRUNCATED, "an end mark after a part of the answer");
-            case FOREIGN -> Judgement.of(AttemptVerdict.CROSSED, "another request's answer");
+        return switch (responseCheck.check(plan, text)) {
+            case MATCH -> Classification.of(AttemptVerdict.ANSWERED, "");
+            case PREFIX -> Classification.of(AttemptVerdict.TRUNCATED, "an end mark after a part of the answer");
+            case MISMATCH -> Classification.of(AttemptVerdict.CROSSED, "another request's answer");
         };
     }
 
-    private Judgement judgeProblem(@Nullable JsonNode problem) {
+    private Classification classifyProblem(@Nullable JsonNode problem) {
         if (problem == null) {
-            return Judgement.of(AttemptVerdict.UNKNOWN, "status " + status + " without a problem body");
+            return Classification.of(AttemptVerdict.UNKNOWN, "status " + status + " without a problem body");
         }
         String type = problem.path("type").asText("status " + status);
         boolean notRun = problem.path("run").asText().equals("not-run");
-        return Judgement.of(notRun ? AttemptVerdict.NOT_RUN : AttemptVerdict.UNKNOWN, type);
+        return Classification.of(notRun ? AttemptVerdict.NOT_RUN : AttemptVerdict.UNKNOWN, type);
     }
 
     private long retryAfterMs() {
@@ -188,7 +190,7 @@
         }
         try {
             return Long.parseLong(value.strip()) * MILLIS_PER_SECOND;
-        } catch (NumberFormatException date) {
+        } catch (NumberFormatException notSeconds) {
             return -1;
         }
     }
@@ -202,9 +204,9 @@
         }
     }
 
-    private record Judgement(AttemptVerdict verdict, String detail) {
-        static Judgement of(AttemptVerdict verdict, String detail) {
-            return new Judgement(verdict, detail);
+    private record Classification(AttemptVerdict verdict, String detail) {
+        static Classification of(AttemptVerdict verdict, String detail) {
+            return new Classification(verdict, detail);
         }
     }
 }
--- a/tool/src/main/java/org/marjoramswitch/tool/load/RetryRule.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/RetryPolicy.java
@@ -3,35 +3,35 @@
 import org.marjoramswitch.tool.http.CallEnd;
 
 /**
- * Whether and how a caller sends a request again.
+ * Decides whether and how a caller retries a request.
  *
- * <p>A refusal that says "not run" may be followed by a new execution whatever the request is. After silence or a broken
- * connection the caller asks by the same key: that never makes a second execution, so it is safe for every request. A
- * request that the fleet itself says has an unknown outcome is executed anew only where it is repeatable.
+ * <p>After a "not run" response, any request may be executed again. After a timeout or a broken connection the caller
+ * retries with the same key: this never causes a second execution, so it is safe for every request. A request whose
+ * outcome the fleet reports as unknown is executed again only if it is repeatable.
  *
- * <p>An answer that was framed as whole and is not, or is another request's, is never followed by another attempt: a
- * caller without this tool's checks would not have noticed, so trying again would hide the fault.
+ * <p>A response that is framed as complete but truncated, or that belongs to another request, is never retried: a
+ * caller without this tool's checks would not notice it, so a retry would hide the fault.
  */
 @FunctionalInterface
-interface RetryRule {
+interface RetryPolicy {
     Next next(OpenRequest request, AttemptResult result);
 
-    /** What the caller does next, after {@code delayMs}. */
+    /** The next step, to be taken after {@code delayMs}. */
     record Next(Step step, long delayMs) {
         static final Next STOP = new Next(Step.STOP, 0);
     }
 
-    /** The ways to go on. */
+    /** Ways to continue after a failed attempt. */
     enum Step {
         STOP,
-        /** Send it as an execution of its own. */
+        /** Send the request as a new execution, with a new key. */
         NEW_KEY,
-        /** Ask what became of the key: its home, or another instance where the home cannot be reached. */
+        /** Send it again with the same key, to the key's home instance or, if that is unreachable, to another one. */
         SAME_KEY
     }
 
-    /** The rule for callers that heed Retry-After and otherwise wait {@code backoffMs} times the attempts so far. */
-    static RetryRule standard(int maxAttempts, long backoffMs) {
+    /** Returns the policy that obeys Retry-After, or else backs off linearly by {@code backoffMs} per attempt. */
+    static RetryPolicy standard(int maxAttempts, long backoffMs) {
         return (request, result) -> {
             if (result.verdict() == AttemptVerdict.ANSWERED || request.attempts() >= maxAttempts) {
                 return Next.STOP;
@@ -60,7 +60,7 @@
         return sameBytesRefusedAgain ? Step.STOP : Step.NEW_KEY;
     }
 
-    /** A repeatable request need not wait for the truth about its key; any other one has nothing else to do. */
+    /** A repeatable request is executed again without waiting for its key's outcome; any other one retries the key. */
     private static Step afterUnknown(OpenRequest request, AttemptResult result) {
         if (request.isKeyed() && result.isRedirect()) {
             return Step.SAME_KEY;
--- a/tool/src/main/java/org/marjoramswitch/tool/load/Scenario.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/Scenario.java
@@ -4,15 +4,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A load as its JSON file describes it.
+ * Description of a load, as read from its JSON file.
  *
- * @param instances {@code host:port} of some instances, asked for an address in turn
- * @param seconds how long new requests are made
- * @param maxRequests no more requests than this are made, retries not counted
- * @param answerTimeoutMs how long a caller waits for the next sign of life before it gives a request up
- * @param maxAttempts how often a request may be sent in all
- * @param standInAnswers whether the targets are stand-ins with their default options, so that each answer's words can
- *     be checked
+ * @param instances {@code host:port} of some instances; address requests go to them round-robin
+ * @param seconds how long new requests are created
+ * @param maxRequests maximum number of requests, retries not counted
+ * @param answerTimeoutMs how long a caller waits for the next byte before it cancels an attempt
+ * @param maxAttempts maximum number of attempts per request, including the first
+ * @param standInAnswers whether the targets are stand-ins with their default options, so that the text of each response
+ *     can be checked
  */
 public record Scenario(
         String name,
@@ -51,13 +51,13 @@
     }
 
     /**
-     * What one customer does. Exactly one of the two ways is above 0.
+     * One customer's workload. Exactly one of {@code ratePerSecond} and {@code concurrency} is above 0.
      *
-     * @param ratePerSecond new requests a second, whatever became of the earlier ones (open loop)
-     * @param concurrency requests kept outstanding, each followed by the next (closed loop)
-     * @param streamingShare of the model requests, 0 to 1
-     * @param urgentShare of all requests, 0 to 1: sent with urgency 1 in place of the default 3
-     * @param service the plain service that takes a share of the requests
+     * @param ratePerSecond mean arrival rate of new requests, independent of completions (open loop)
+     * @param concurrency number of outstanding requests; each one that ends is replaced by a new one (closed loop)
+     * @param streamingShare share of the model requests that are streamed, 0 to 1
+     * @param urgentShare share of all requests that are sent with urgency 1 instead of the default 3, 0 to 1
+     * @param service the plain service that receives a share of the requests; null if none does
      */
     public record CustomerLoad(
             String customer,
@@ -72,10 +72,10 @@
             @Nullable ServiceLoad service) {}
 
     /**
-     * A customer's calls of a plain service.
+     * A customer's calls to a plain service.
      *
-     * @param share of the customer's requests, 0 to 1
-     * @param notRepeatableShare of the service calls, 0 to 1
+     * @param share share of the customer's requests that go to the service, 0 to 1
+     * @param notRepeatableShare share of the service calls that must not be repeated, 0 to 1
      */
     public record ServiceLoad(String name, String path, double share, double notRepeatableShare) {}
 }
--- a/tool/src/main/java/org/marjoramswitch/tool/load/ScenarioReader.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/ScenarioReader.java
@@ -15,11 +15,12 @@
 import org.marjoramswitch.tool.load.Scenario.CustomerLoad;
 import org.marjoramswitch.tool.load.Scenario.ServiceLoad;
 
-/** Reads a scenario and names every fault in it at once. */
+/** Parses a scenario and reports all its faults together. */
 public final class ScenarioReader {
-    /** A load is bounded: no scenario asks for more than this. */
+    /** Upper bound of {@link Scenario#maxRequests}, so that every load is bounded. */
     static final long MAX_REQUESTS = 1_000_000;
 
+    /** Upper bound of {@link Scenario#seconds}. */
     static final long MAX_SECONDS = 3_600;
 
     private static final ObjectMapper JSON = new ObjectMapper()
@@ -29,11 +30,11 @@
 
     private ScenarioReader() {}
 
-    /** What was read. */
+    /** Result of reading a scenario. */
     public sealed interface Result {
         record Valid(Scenario scenario) implements Result {}
 
-        /** Each fault with its path. */
+        /** @param faults each with the path of the faulty value */
         record Invalid(List<String> faults) implements Result {}
     }
 
@@ -45,7 +46,7 @@
         }
     }
 
-    /** One of the scenarios that come with the tool: those of {@code examples/}. */
+    /** Returns a scenario packaged with the tool, from {@code examples/}. */
     public static Scenario builtIn(String name) throws IOException {
         try (InputStream resource = ScenarioReader.class.getResourceAsStream(name + ".json")) {
             if (resource == null) {
--- a/tool/src/main/java/org/marjoramswitch/tool/load/StandInAnswers.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/StandInResponses.java
@@ -4,29 +4,29 @@
 import org.marjoramswitch.testkit.engine.EngineOptions;
 import org.marjoramswitch.testkit.engine.ModelEngine;
 
-/** Checks answers of the stand-ins, whose words follow from the request alone. */
-public final class StandInAnswers implements AnswerCheck {
+/** Checks the responses of stand-ins, whose text is a function of the request and the engine options. */
+public final class StandInResponses implements ResponseCheck {
     private final EngineOptions engines;
 
-    private StandInAnswers(EngineOptions engines) {
+    private StandInResponses(EngineOptions engines) {
         this.engines = engines;
     }
 
-    /** @param engines the options of every engine, as far as they bear on words and lengths */
-    public static StandInAnswers of(EngineOptions engines) {
-        return new StandInAnswers(engines);
+    /** @param engines the options that all engines share; they determine the text and length of a response */
+    public static StandInResponses of(EngineOptions engines) {
+        return new StandInResponses(engines);
     }
 
     @Override
     public Verdict check(RequestPlan plan, String text) {
         if (plan.kind() == RequestPlan.Kind.SERVICE) {
-            return AnswerIds.carries(text, plan.requestId()) ? Verdict.OWN : Verdict.FOREIGN;
+            return RequestIdMatcher.containsId(text, plan.requestId()) ? Verdict.MATCH : Verdict.MISMATCH;
         }
         String expected = expectedText(plan);
         if (expected.equals(text)) {
-            return Verdict.OWN;
+            return Verdict.MATCH;
         }
-        return expected.startsWith(text) ? Verdict.PART : Verdict.FOREIGN;
+        return expected.startsWith(text) ? Verdict.PREFIX : Verdict.MISMATCH;
     }
 
     private String expectedText(RequestPlan plan) {
--- a/tool/src/main/java/org/marjoramswitch/tool/load/Timers.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/Timers.java
@@ -4,15 +4,15 @@
 import java.util.PriorityQueue;
 import java.util.function.LongConsumer;
 
-/** Tasks of one thread, each run once when its time has come, in order of time and then of entry. */
+/** One-shot timers of a single thread, run in order of due time and then of scheduling. Not thread-safe. */
 final class Timers {
     private final PriorityQueue<Timer> queue =
             new PriorityQueue<>(Comparator.comparingLong(Timer::dueNs).thenComparingLong(Timer::order));
-    private long entered;
+    private long scheduled;
 
-    /** @param task gets the time at which it runs */
+    /** @param task receives the time at which it runs */
     void at(long dueNs, LongConsumer task) {
-        queue.add(new Timer(dueNs, entered++, task));
+        queue.add(new Timer(dueNs, scheduled++, task));
     }
 
     void runDue(long nowNs) {
@@ -22,10 +22,10 @@
         }
     }
 
-    /** How long until the next task; at most {@code mostNs}, never below 0. */
-    long waitNs(long nowNs, long mostNs) {
+    /** Returns the time until the next task is due, between 0 and {@code maxNs}. */
+    long waitNs(long nowNs, long maxNs) {
         Timer next = queue.peek();
-        return next == null ? mostNs : Math.max(0, Math.min(mostNs, next.dueNs() - nowNs));
+        return next == null ? maxNs : Math.max(0, Math.min(maxNs, next.dueNs() - nowNs));
     }
 
     private record Timer(long dueNs, long order, LongConsumer task) {}
--- a/tool/src/main/java/org/marjoramswitch/tool/load/package-info.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/package-info.java
@@ -1,4 +1,4 @@
-/** The load tool: a bounded load from a scenario, and the account of what came of each request. */
+/** Load generator: sends a bounded load that a scenario describes and reports the outcome of every request. */
 @NullMarked
 package org.marjoramswitch.tool.load;
 
--- a/tool/src/main/java/org/marjoramswitch/tool/package-info.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/package-info.java
@@ -1,4 +1,4 @@
-/** The command-line tool: its main class and its exit codes. */
+/** Main class, command declarations and exit codes of the command-line tool. */
 @NullMarked
 package org.marjoramswitch.tool;
 
--- a/tool/src/main/java/org/marjoramswitch/tool/replay/Replay.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/replay/Replay.java
@@ -15,10 +15,11 @@
 import org.marjoramswitch.kernel.replay.RecordingHeader;
 
 /**
- * Runs a recording through the kernel that recorded it and gives a line for each decision and outcome.
+ * Replays a recording through the kernel and prints a line for each decision and outcome.
  *
- * <p>The kernel depends on its options, its events and their times alone, and all are in the recording, so the same file gives the same lines wherever and whenever it is replayed. What the kernel did not decide, such as when a target
- * answered, is not computed anew: it is among the events.
+ * <p>The kernel depends only on its options, its events and their times, and the recording contains all of them, so the
+ * same file always gives the same lines. What the kernel did not decide, such as when a target responded, is not
+ * recomputed: it is among the recorded events.
  */
 public final class Replay {
     private final InstanceKernel kernel;
@@ -33,7 +34,7 @@
         this.lines = lines;
     }
 
-    /** What a replay came to. */
+    /** Counts of a replay. */
     public record Summary(long events, long decisions, long completed, long failed) {
         public String line() {
             return KeyValueLog.line(
@@ -50,15 +51,15 @@
     }
 
     /**
-     * Replays a whole recording.
+     * Replays a complete recording.
      *
-     * @param lines gets a line for each decision and outcome
-     * @throws IOException where the recording cannot be read
+     * @param lines receives a line for each decision and outcome
+     * @throws IOException if the recording cannot be read or is empty
      */
     public static Summary run(BufferedReader recording, Consumer<String> lines) throws IOException {
         String first = recording.readLine();
         if (first == null) {
-            throw new IOException("an empty recording");
+            throw new IOException("the recording is empty");
         }
         RecordingHeader header = EventJson.readHeader(first);
         InstanceKernel kernel = InstanceKernel.create(header.self(), header.options());
--- a/tool/src/main/java/org/marjoramswitch/tool/replay/package-info.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/replay/package-info.java
@@ -1,4 +1,4 @@
-/** Replays a recording of what an instance's decisions were given. */
+/** Replays the recorded kernel events of an instance. */
 @NullMarked
 package org.marjoramswitch.tool.replay;
 
--- a/tool/src/main/java/org/marjoramswitch/tool/settings/DocumentDiff.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/settings/DocumentDiff.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** Compares two documents by content, whatever their layout and change ids. */
+/** Compares two documents by content, ignoring formatting and change ids. */
 public final class DocumentDiff {
     private DocumentDiff() {}
 
-    /** One place at which the documents differ; {@code before} or {@code after} is empty where it has nothing there. */
+    /** A difference at a JSON pointer; {@code before} or {@code after} is empty if that document has no value there. */
     public record Difference(String pointer, String before, String after) {
         @Override
         public String toString() {
@@ -21,7 +21,7 @@
         }
     }
 
-    /** The differences in the order of their pointers. */
+    /** Returns the differences in the order of their pointers. */
     public static List<Difference> between(ObjectNode before, ObjectNode after) {
         List<Difference> found = new ArrayList<>();
         compare("", DocumentJson.content(before), DocumentJson.content(after), found);
--- a/tool/src/main/java/org/marjoramswitch/tool/settings/DocumentJson.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/settings/DocumentJson.java
@@ -7,14 +7,14 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.jspecify.annotations.Nullable;
 
-/** The JSON text of settings documents; the change id is their member {@code changeId}. */
+/** Reads and writes settings documents as JSON; the change id is the member {@code changeId}. */
 final class DocumentJson {
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
     private static final String CHANGE_ID = "changeId";
 
     private DocumentJson() {}
 
-    /** Null where the text is not a JSON object. */
+    /** Returns null if the text is not a JSON object. */
     static @Nullable ObjectNode parse(String json) {
         try {
             return JSON.readTree(json) instanceof ObjectNode object ? object : null;
@@ -23,13 +23,13 @@
         }
     }
 
-    /** Empty where the text has none. */
+    /** Returns the change id; empty if the document has none or is not a JSON object. */
     static String changeId(String json) {
         ObjectNode document = parse(json);
         return document == null ? "" : document.path(CHANGE_ID).asText("");
     }
 
-    /** The document's text with this change id in place of its own. */
+    /** Returns the document's text with its change id replaced by this one. */
     static String withChangeId(ObjectNode document, String changeId) {
         ObjectNode changed = JSON.createObjectNode().put(CHANGE_ID, changeId);
         document.properties().forEach(member -> {
@@ -40,7 +40,7 @@
         return write(changed);
     }
 
-    /** The document without its change id, for comparisons. */
+    /** Returns a copy of the document without its change id, for comparisons. */
     static JsonNode content(ObjectNode document) {
         return document.deepCopy().without(CHANGE_ID);
     }
--- a/tool/src/main/java/org/marjoramswitch/tool/settings/KeyValueReasons.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/settings/FailureReasons.java
@@ -3,11 +3,11 @@
 import org.jspecify.annotations.Nullable;
 import org.marjoramswitch.daemon.platform.KeyValueResult;
 
-/** Says why a call to the platform's service gave nothing. */
-final class KeyValueReasons {
-    private KeyValueReasons() {}
+/** Describes why a call to the key-value store failed. */
+final class FailureReasons {
+    private FailureReasons() {}
 
-    /** Empty where the service answered. */
+    /** Returns the reason; empty if the call succeeded. */
     static <T extends @Nullable Object> String of(KeyValueResult<T> result) {
         if (result instanceof KeyValueResult.NotSent<T> notSent) {
             return notSent.reason();
--- a/tool/src/main/java/org/marjoramswitch/tool/settings/History.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/settings/History.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * The last writes of a document, newest first. It is written in the same transaction as the document, so it holds
- * exactly the writes that took effect: that is what settles a write whose answer was lost and which another operator has
- * since overwritten.
+ * The latest writes of a document, newest first. The history is written in the same transaction as the document, so it
+ * contains exactly the writes that took effect. This resolves the outcome of a write whose response was lost and which
+ * another operator has since overwritten.
  *
- * <p>Bounded by {@value #MAX_RECORDS} records and {@value #MAX_BYTES} bytes, since the platform's service holds values
- * up to a megabyte; the newest record is always kept.
+ * <p>Bounded by {@value #MAX_RECORDS} records and {@value #MAX_BYTES} bytes, since the key-value store limits values to
+ * one megabyte; the newest record is always kept.
  */
 public record History(List<Change> changes) {
     static final int MAX_RECORDS = 20;
@@ -19,14 +19,14 @@
     static final History EMPTY = new History(List.of());
 
     /**
-     * One write that took effect.
+     * A write that took effect.
      *
-     * @param atMs by the clock of the operator's machine
+     * @param atMs time of the write by the clock of the operator's machine
      * @param json the document as written
      */
     public record Change(String changeId, long atMs, String operator, String json) {}
 
-    /** The history in a value of the platform's service; empty where it is not one. */
+    /** Parses a history from its stored value; returns an empty history if the value is malformed. */
     static History parse(String json) {
         try {
             return DocumentJson.read(json, History.class);
--- a/tool/src/main/java/org/marjoramswitch/tool/settings/PlatformConnection.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/settings/PlatformConnection.java
@@ -12,7 +12,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** A connection to the platform's service for the time of one command. */
+/** Connection to the platform's key-value store for the duration of one command. */
 public final class PlatformConnection implements AutoCloseable {
     private final XnioWorker worker;
     private final KeyValueStore store;
--- a/tool/src/main/java/org/marjoramswitch/tool/settings/SettingsCheck.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/settings/SettingsCheck.java
@@ -7,19 +7,19 @@
 import org.marjoramswitch.kernel.configuration.SettingsFault;
 import org.marjoramswitch.kernel.configuration.SettingsMerger;
 
-/** Checks a document as the acceptors will, in the tree of all teams' drafts. */
+/** Checks a document as the acceptors do, merged with the drafts of all teams. */
 public final class SettingsCheck {
     private SettingsCheck() {}
 
     /**
-     * The faults of the tree with the document in it.
+     * Faults of the drafts including the document.
      *
-     * @param ownFaults those of the document's own team; any of them would have the team's drafts refused
-     * @param otherFaults those of other teams, which do not hold this one back
+     * @param ownFaults faults of the document's own team; any of them causes the team's drafts to be rejected
+     * @param otherFaults faults of other teams, which do not prevent this team's drafts from being accepted
      */
     public record Result(List<SettingsFault> ownFaults, List<SettingsFault> otherFaults) {}
 
-    /** @param draftsByKey the drafts of all teams, the document's own included where there is one */
+    /** @param draftsByKey the stored drafts of all teams; the document replaces its own draft, if there is one */
     public static Result run(Map<String, String> draftsByKey, DocumentName name, ObjectNode document) {
         Map<String, String> tree = new TreeMap<>(draftsByKey);
         tree.put(name.key(), document.toString());
--- a/tool/src/main/java/org/marjoramswitch/tool/settings/SettingsView.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/settings/SettingsView.java
@@ -11,7 +11,7 @@
 import org.marjoramswitch.kernel.configuration.AcceptedHead;
 import org.marjoramswitch.kernel.configuration.SettingsKeys;
 
-/** Reads the settings from the platform's service. */
+/** Reads settings documents and their acceptance state from the key-value store. */
 public final class SettingsView {
     private final KeyValueStore store;
 
@@ -23,7 +23,7 @@
         return new SettingsView(store);
     }
 
-    /** Says that the platform's service did not answer a reading. */
+    /** Signals that the key-value store did not respond to a read. */
     public static final class UnavailableException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /** A document in a listing. */
+    /** Summary of a document for listings. */
     public record Listed(String document, long modRevision, String changeId, int bytes) {}
 
     public StoredDocument document(DocumentName name) throws UnavailableException {
@@ -44,12 +44,12 @@
         return entry == null ? History.EMPTY : History.parse(entry.value());
     }
 
-    /** The drafts by key; {@code team} empty for all teams. */
+    /** Returns the drafts by key; an empty {@code team} selects all teams. */
     public Map<String, String> drafts(String team) throws UnavailableException {
         return values(prefix(team));
     }
 
-    /** All values whose keys begin with {@code prefix}, by key. */
+    /** Returns all values whose keys start with {@code prefix}, by key. */
     public Map<String, String> values(String prefix) throws UnavailableException {
         Map<String, String> values = new TreeMap<>();
         entries(prefix).forEach(entry -> values.put(entry.key(), entry.value()));
@@ -66,13 +66,13 @@
                 .toList();
     }
 
-    /** The accepted head; null before the first acceptance. */
+    /** Returns the accepted head; null before the first acceptance. */
     public @Nullable AcceptedHead head() throws UnavailableException {
         Entry entry = entry(SettingsKeys.HEAD);
         return entry == null ? null : AcceptedHead.parse(entry.value());
     }
 
-    /** What is accepted of a document; null where nothing is. */
+    /** Returns the accepted content of a document; null if there is none. */
     public @Nullable ObjectNode accepted(DocumentName name) throws UnavailableException {
         Entry entry = entry(SettingsKeys.body(name.team()));
         ObjectNode body = entry == null ? null : DocumentJson.parse(entry.value());
@@ -84,7 +84,7 @@
                 : null;
     }
 
-    /** Refusals by team, as the acceptors wrote them. */
+    /** Returns the refusals by team, in the JSON that the acceptors wrote. */
     public Map<String, String> refusals() throws UnavailableException {
         Map<String, String> byTeam = new TreeMap<>();
         entries(SettingsKeys.REFUSALS)
@@ -97,17 +97,17 @@
     }
 
     private List<Entry> entries(String prefix) throws UnavailableException {
-        return answer(store.range(prefix).join()).entries();
+        return valueOf(store.range(prefix).join()).entries();
     }
 
     private @Nullable Entry entry(String key) throws UnavailableException {
-        return answer(store.get(key).join());
+        return valueOf(store.get(key).join());
     }
 
-    private static <T extends @Nullable Object> T answer(KeyValueResult<T> result) throws UnavailableException {
+    private static <T extends @Nullable Object> T valueOf(KeyValueResult<T> result) throws UnavailableException {
         if (result instanceof KeyValueResult.Answered<T> answered) {
             return answered.value();
         }
-        throw new UnavailableException(KeyValueReasons.of(result));
+        throw new UnavailableException(FailureReasons.of(result));
     }
 }
--- a/tool/src/main/java/org/marjoramswitch/tool/settings/SettingsWriter.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/settings/SettingsWriter.java
@@ -8,21 +8,25 @@
 import org.marjoramswitch.daemon.platform.KeyValueStore;
 
 /**
- * Writes settings documents so that no operator overwrites what they have not seen.
+ * Writes settings documents so that operators cannot overwrite changes that they have not seen.
  *
- * <p><b>Two operators.</b> A document carries the id of the change that wrote it. An operator's file carries the id that
- * it was read with, and the write is refused unless the stored document still has it; the compare-and-swap on the
- * revision that this comparison read closes the gap between reading and writing. So of two operators who changed the
- * same version exactly one gets through, and the other is told whose change came first.
+ * <p>Concurrent writes: a document contains the id of the change that wrote it. An operator's file contains the change
+ * id of the version that was read, and the write is rejected unless the stored document still has that id. A
+ * compare-and-swap on the revision of the compared document closes the gap between reading and writing. Of two
+ * operators who changed the same version, exactly one succeeds, and the other receives the stored document with its
+ * change id.
  *
- * <p><b>A lost answer.</b> The service may carry out a write and its answer be lost, or carry it out later. The document
- * is read back: where it, or its history, holds this write's change id, the write took effect. Where the document is
- * still the one that was compared against, the same compare-and-swap is sent again; both name the same revision, so at
- * most one of them can take effect, and a late first one shows on the next reading. Where the document is another one,
- * the revision has moved on and the write never will take effect. Only when the service stays away is the outcome
- * reported as unknown.
+ * <p>Lost responses: the store may execute a write whose response is lost, or execute it late. The document is read
+ * back:
+ * <ul>
+ *   <li>If the document or its history contains this write's change id, the write took effect.
+ *   <li>If document and history are unchanged, the same compare-and-swap is sent again. Both attempts expect the same
+ *       revision, so at most one can take effect, and a late first one is found on the next read.
+ *   <li>If the document has another revision, the write can no longer take effect.
+ * </ul>
+ * The outcome is reported as unknown only if the store stays unavailable.
  *
- * <p>Cost: two reads and one write where all goes well.
+ * <p>Cost: two reads and one write without failures.
  */
 public final class SettingsWriter {
     private static final int MAX_ATTEMPTS = 6;
@@ -40,17 +44,17 @@
         return new SettingsWriter(store, pause);
     }
 
-    /** Waits between two attempts, counted from 1. */
+    /** Waits between two attempts; {@code attempt} counts from 1. */
     @FunctionalInterface
     public interface Pause {
         void await(int attempt) throws InterruptedException;
     }
 
     /**
-     * A write to be made.
+     * A write request.
      *
-     * @param baseChangeId the change that the stored document must come from; empty where there must be none, null to
-     *     replace whatever is there
+     * @param baseChangeId the change id that the stored document must have; empty if there must be no document, null to
+     *     replace any version
      */
     public record Put(
             DocumentName name,
@@ -82,18 +86,18 @@
         boolean mayHaveTakenEffect = false;
         String reason = "";
         for (int attempt = 1; attempt <= MAX_ATTEMPTS; attempt++) {
-            KeyValueResult<Boolean> result = swap(put, base);
+            KeyValueResult<Boolean> result = compareAndSwap(put, base);
             if (result instanceof KeyValueResult.Answered<Boolean> answered && answered.value()) {
                 return new PutResult.Written(put.changeId(), false);
             }
-            reason = KeyValueReasons.of(result);
+            reason = FailureReasons.of(result);
             boolean sent = result instanceof KeyValueResult.Answered || result instanceof KeyValueResult.OutcomeUnknown;
             mayHaveTakenEffect |= result instanceof KeyValueResult.OutcomeUnknown;
             if (!sent && !mayHaveTakenEffect) {
                 return new PutResult.Unavailable(reason);
             }
             pause.await(attempt);
-            PutResult settled = settle(put, base);
+            PutResult settled = resolveByReading(put, base);
             if (settled != null) {
                 return settled;
             }
@@ -101,7 +105,7 @@
         return new PutResult.OutcomeUnknown(put.changeId(), reason);
     }
 
-    private KeyValueResult<Boolean> swap(Put put, Reading base) {
+    private KeyValueResult<Boolean> compareAndSwap(Put put, Reading base) {
         String json = DocumentJson.withChangeId(put.document(), put.changeId());
         History history = base.history().with(new History.Change(put.changeId(), put.nowMs(), put.operator(), json));
         Map<String, Long> expected = Map.of(
@@ -110,8 +114,8 @@
         return store.compareAndSwap(expected, puts, List.of(), NO_LEASE).join();
     }
 
-    /** What reading back says of the write; null where it says nothing yet and the write may be sent again. */
-    private @Nullable PutResult settle(Put put, Reading base) {
+    /** Determines the outcome by reading back; returns null if it is undetermined and the write may be sent again. */
+    private @Nullable PutResult resolveByReading(Put put, Reading base) {
         Reading now = read(put.name());
         if (now.failure() != null) {
             return null;
@@ -131,17 +135,17 @@
         KeyValueResult<KeyValueStore.@Nullable Entry> document =
                 store.get(name.key()).join();
         if (!(document instanceof KeyValueResult.Answered<KeyValueStore.@Nullable Entry> foundDocument)) {
-            return Reading.failed(KeyValueReasons.of(document));
+            return Reading.failed(FailureReasons.of(document));
         }
         KeyValueResult<KeyValueStore.@Nullable Entry> history =
                 store.get(name.historyKey()).join();
         if (!(history instanceof KeyValueResult.Answered<KeyValueStore.@Nullable Entry> foundHistory)) {
-            return Reading.failed(KeyValueReasons.of(history));
+            return Reading.failed(FailureReasons.of(history));
         }
         return Reading.of(foundDocument.value(), foundHistory.value());
     }
 
-    /** A document and its history; {@code failure} says why they could not be read, null where they could. */
+    /** A document and its history; {@code failure} is the reason if they could not be read, otherwise null. */
     private record Reading(
             StoredDocument document,
             History history,
--- a/tool/src/main/java/org/marjoramswitch/tool/settings/StoredDocument.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/settings/StoredDocument.java
@@ -5,10 +5,10 @@
 import org.marjoramswitch.daemon.platform.KeyValueStore;
 
 /**
- * A draft as the platform's service holds it.
+ * A draft as stored in the key-value store.
  *
- * @param changeId of the write that left it so; empty where it was written without one
- * @param modRevision 0 where there is no draft
+ * @param changeId id of the change that wrote it; empty if it was written without one
+ * @param modRevision revision of the last modification; 0 if there is no draft
  */
 public record StoredDocument(String json, String changeId, long modRevision) {
     static final StoredDocument ABSENT = new StoredDocument("", "", 0);
@@ -20,7 +20,7 @@
         return new StoredDocument(entry.value(), DocumentJson.changeId(entry.value()), entry.modRevision());
     }
 
-    /** The document's JSON; null where there is none or it is no JSON object. */
+    /** Returns the document's JSON; null if there is none or it is not a JSON object. */
     public @Nullable ObjectNode content() {
         return DocumentJson.parse(json);
     }
--- a/tool/src/main/java/org/marjoramswitch/tool/settings/package-info.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/settings/package-info.java
@@ -1,4 +1,4 @@
-/** What operators do with the settings: read, check, write by compare-and-swap, compare, and see what is in force. */
+/** Operations on settings documents: reading, checking, comparing, and writing by compare-and-swap. */
 @NullMarked
 package org.marjoramswitch.tool.settings;
 
--- a/tool/src/test/java/org/marjoramswitch/tool/MainTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/MainTest.java
@@ -31,13 +31,13 @@
     }
 
     @Test
-    void showsHelpWhereNoCommandIsGiven() {
+    void showsHelpWithoutACommand() {
         assertEquals(ExitCode.OK, run());
         assertTrue(out.toString(StandardCharsets.UTF_8).startsWith("usage: marjoramswitch"));
     }
 
     @Test
-    void namesWhatItCannotUnderstand() {
+    void rejectsInvalidCommandLines() {
         assertEquals(ExitCode.USAGE, run("load"));
         assertEquals(ExitCode.USAGE, run("no-such-command"));
         assertEquals(ExitCode.USAGE, run("load", "--seconds", "ten", "scenario.json"));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void namesEveryFaultOfAScenarioAtOnce(@TempDir Path directory) throws Exception {
+    void reportsAllFaultsOfAScenario(@TempDir Path directory) throws Exception {
         Path file = directory.resolve("scenario.json");
         Files.writeString(file, """
                 {"name": "faulty", "seed": 1, "instances": ["nowhere"], "seconds": 0, "maxRequests": 10,
--- a/tool/src/test/java/org/marjoramswitch/tool/demo/DemoMeterTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/demo/DemoMeterTest.java
@@ -10,7 +10,7 @@
     private static final long WARM = DemoMeter.WARM_UP_MS;
     private static final Map<String, Integer> TWO_EACH = Map.of("a", 2, "b", 2);
 
-    /** @param outstanding of either customer; each has two requests in the batches */
+    /** @param outstanding requests of each customer; two requests of each are running */
     private static DemoSample sample(double busyMs, double idleMs, long tokensOfA, long tokensOfB, int outstanding) {
         return new DemoSample(
                 busyMs,
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void leavesTheWarmUpOutOfTheGap() {
+    void excludesTheWarmUpFromTheGap() {
         DemoMeter meter = DemoMeter.create(SLOTS, sample(0, 0, 0, 0, 3));
         meter.take(sample(0, 0, 100, 100, 3), 0);
         meter.take(sample(0, 0, 900, 100, 3), WARM - 1);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void startsAnewAfterABreakInTheBacklog() {
+    void restartsTheGapAfterABreakInTheBacklog() {
         DemoMeter meter = DemoMeter.create(SLOTS, sample(0, 0, 0, 0, 3));
         meter.take(sample(0, 0, 100, 100, 3), WARM);
         meter.take(sample(0, 0, 900, 100, 2), WARM);
--- a/tool/src/test/java/org/marjoramswitch/tool/demo/DemoRunTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/demo/DemoRunTest.java
@@ -13,8 +13,8 @@
 class DemoRunTest {
     private static final int SECONDS = 3;
 
-    // The whole path in one process: settings by compare-and-swap, acceptance, addresses, grants across instances,
-    // streams, and calls that may not be repeated, under more load than the engines can take.
+    // End-to-end test in one process: settings by compare-and-swap, acceptance, addresses, grants across instances,
+    // streams, and non-repeatable calls, under more load than the engines can serve.
     @Test
     void answersEveryRequestOnce() throws Exception {
         DemoSite site = DemoSite.ALL.get(0);
--- a/tool/src/test/java/org/marjoramswitch/tool/demo/LostInstancesTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/demo/LostInstancesTest.java
@@ -23,7 +23,7 @@
 import org.marjoramswitch.tool.load.RequestPlan;
 import org.marjoramswitch.tool.load.Scenario;
 import org.marjoramswitch.tool.load.ScenarioReader;
-import org.marjoramswitch.tool.load.StandInAnswers;
+import org.marjoramswitch.tool.load.StandInResponses;
 
 class LostInstancesTest {
     private static final long DRAIN_TIMEOUT_S = 60;
@@ -33,12 +33,13 @@
     private static final int REQUESTS_BEFORE_DRAIN = 360;
     private static final PrintStream NOWHERE = new PrintStream(OutputStream.nullOutputStream());
 
-    // Under full load one instance dies at once and another one is stopped gracefully. Callers of the first see their
-    // streams break off and ask the others by their keys; callers of the second are told to go elsewhere while what
-    // it has runs to its end. Every request that may be repeated must be answered in the end, no other one may run
-    // twice, and no "not run" may be told of one that ran.
+    // Under full load one instance crashes and another one is drained. Callers of the first see their connections break
+    // and retry with the same keys at other instances; callers of the second are redirected to other instances while
+    // its
+    // running requests finish. Every repeatable request must be answered in the end, no other request may be executed
+    // twice, and no request that was executed may be reported as not run.
     @Test
-    void callersGetTheTruthWhileInstancesGo() throws Exception {
+    void reportsCorrectOutcomesWhileInstancesCrashAndDrain() throws Exception {
         DemoSite site = DemoSite.ALL.get(0);
         Scenario scenario =
                 ScenarioReader.builtIn(site.name()).withSeconds(SECONDS).withMaxAttempts(MAX_ATTEMPTS);
@@ -49,28 +50,28 @@
             DemoRun run = DemoRun.of(site, scenario, NOWHERE);
             assertEquals("", run.putSettings(platform, targets));
             assertTrue(run.awaitInForce(platform, fleet));
-            FaultyCourse course =
-                    new FaultyCourse(fleet.daemons().get(1), fleet.daemons().get(5));
+            FaultInjector faults =
+                    new FaultInjector(fleet.daemons().get(1), fleet.daemons().get(5));
             LoadReport report = LoadRun.of(
                             scenario,
                             HttpAddressSource.of(client, fleet.callers()),
                             client,
-                            StandInAnswers.of(DemoTargets.engineOptions()),
-                            course,
+                            StandInResponses.of(DemoTargets.engineOptions()),
+                            faults,
                             "lost")
                     .run();
             String text = LoadReportText.of(report);
-            assertTrue(course.killed.isDone(), text);
-            assertTrue(course.toDrain.drained().get(DRAIN_TIMEOUT_S, TimeUnit.SECONDS), text);
-            assertEquals(Map.of(), course.modelRequestsNotAnswered, text);
+            assertTrue(faults.killed.isDone(), text);
+            assertTrue(faults.toDrain.drained().get(DRAIN_TIMEOUT_S, TimeUnit.SECONDS), text);
+            assertEquals(Map.of(), faults.modelRequestsNotAnswered, text);
             assertEquals(0, report.lost(), text);
             assertEquals(0, targets.doubled(), text);
-            assertEquals(0, targets.executed(course.requests.refusedCalls()), text);
+            assertEquals(0, targets.executed(faults.requests.refusedCalls()), text);
         }
     }
 
-    /** Brings about the faults when so many requests were made, and keeps what became of the others. */
-    private static final class FaultyCourse implements org.marjoramswitch.tool.load.LoadListener {
+    /** Injects the faults after a fixed number of requests and records the model requests that were not answered. */
+    private static final class FaultInjector implements org.marjoramswitch.tool.load.LoadListener {
         private final OutstandingRequests requests = new OutstandingRequests(new ProgressPrinter(NOWHERE));
         private final Map<String, String> modelRequestsNotAnswered = new TreeMap<>();
         private final CompletableFuture<Void> killed = new CompletableFuture<>();
@@ -78,7 +79,7 @@
         private final Daemon toDrain;
         private int made;
 
-        FaultyCourse(Daemon toKill, Daemon toDrain) {
+        FaultInjector(Daemon toKill, Daemon toDrain) {
             this.toKill = toKill;
             this.toDrain = toDrain;
         }
--- a/tool/src/test/java/org/marjoramswitch/tool/explain/ExplanationTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/explain/ExplanationTest.java
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void leavesOtherRequestsAndTheirGrantsOut() {
+    void excludesOtherRequestsAndTheirGrants() {
         logDispatch(7, 21);
         logDispatch(8, 22);
         logGrant(22, "quai-nord");
@@ -181,9 +181,10 @@
                 180);
     }
 
-    /** The caller knows its own id only; no target ever had its request, so nothing but the question joins the logs. */
+    // The caller knows only its own id. The request was never sent to a target, so only the placement id joins the
+    // logs.
     @Test
-    void findsWhyARequestWasRefusedByItsCallersId() {
+    void explainsARejectionByTheCallersId() {
         logEnd("entry.log", 7, "9c41d07be2a35f68", "NO_TARGET_IN_TIME", "atelier-llm/0#21");
         logEnd("other.log", 7, "another-id", "NO_TARGET_IN_TIME", "atelier-llm/0#22");
         logPlacement("not_placed", 21, "quai-nord");
@@ -195,7 +196,7 @@
     }
 
     @Test
-    void findsWhyARequestWentToItsTarget() {
+    void explainsAPlacementByTheCallersId() {
         logDispatch(7, 21);
         logEnd("entry.log", 7, "9c41d07be2a35f68", "-", "-");
         logPlacement("place", 21, "quai-nord");
@@ -204,12 +205,11 @@
                 .collect(Collectors.joining("\n")));
     }
 
-    /**
-     * The on-call engineer sees one request only. The instance was killed and counts its requests and questions from the
-     * beginning again, and another entry's question of the same customer bears the same number.
-     */
+    // An instance that restarts after a crash numbers its requests and placement requests from the beginning, and
+    // another
+    // entry's placement request for the same customer may have the same id. Neither may appear in the explanation.
     @Test
-    void tellsTheLivesOfAnInstanceAndOtherEntriesApart() {
+    void distinguishesIncarnationsAndOtherEntries() {
         log("entry.log", 0, "instance_started", "instance", "entry-1");
         logDispatch(7, 21);
         logEnd("entry.log", 7, "9c41d07be2a35f68", "-", "-");
@@ -232,7 +232,7 @@
     }
 
     @Test
-    void readsQuotedValues() {
+    void parsesQuotedValues() {
         String text = KeyValueLog.line("fault", "detail", "a \"b\" = c\nd", "number", 3);
         LogLine line = LogLine.parse("file", "level=INFO " + text);
         assertEquals("a \"b\" = c\nd", line.get("detail"));
--- a/tool/src/test/java/org/marjoramswitch/tool/load/LoadReportTextTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/load/LoadReportTextTest.java
@@ -12,7 +12,7 @@
     private static final Percentiles NONE = new Percentiles(0, 0, 0, 0, 0);
 
     @Test
-    void setsALineForEachCustomerTheTroublesAndASummary() {
+    void formatsARowPerCustomerTheFailuresAndASummary() {
         CustomerReport large = new CustomerReport(
                 "soudure-dakar",
                 1_000,
--- a/tool/src/test/java/org/marjoramswitch/tool/load/LoadRunTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/load/LoadRunTest.java
@@ -33,8 +33,8 @@
     private static CustomerReport run(Scenario scenario, int port) throws Exception {
         try (CallerClient client = CallerClient.start(1)) {
             AddressSource address = AddressSource.fixed(List.of(HostPort.of("127.0.0.1", port)));
-            AnswerCheck answers = StandInAnswers.of(EngineOptions.defaults());
-            LoadReport report = LoadRun.of(scenario, address, client, answers, new BaseLoadListener(), "run")
+            ResponseCheck responseCheck = StandInResponses.of(EngineOptions.defaults());
+            LoadReport report = LoadRun.of(scenario, address, client, responseCheck, new BaseLoadListener(), "run")
                     .run();
             CustomerReport customer = report.customers().get(0);
             long ends = customer.answered()
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void countsWholeAnswersStreamedAndNot() throws Exception {
+    void countsCompleteResponsesWithAndWithoutStreaming() throws Exception {
         CustomerReport report = runOnEngine(scenario(5_000, 1, 0), EngineOptions.defaults(), engine -> {});
         assertEquals(REQUESTS, report.answered(), report::toString);
         assertEquals(REQUESTS, report.total().count());
@@ -65,39 +65,40 @@
         assertTrue(report.firstToken().p50Ms() <= report.total().p50Ms());
     }
 
-    // The engine cuts the connection after the third token. The caller has a part of its answer in hand, and the
-    // missing end of the framing shows that it is one. Counting it as answered would hide every lost rest.
+    // The engine closes the connection after the third token. The caller has received a partial response, recognisable
+    // by
+    // the missing end of the framing. Counting it as answered would hide every truncated response.
     @Test
-    void countsAnAnswerCutInTheMiddleAsBroken() throws Exception {
+    void countsAPartialResponseAsBroken() throws Exception {
         CustomerReport report = runOnEngine(
                 scenario(5_000, 1, 0), EngineOptions.defaults(), engine -> engine.setFault(EngineFault.BREAK_OFF));
         assertEquals(REQUESTS, report.broken(), report::toString);
         assertEquals(0, report.total().count());
     }
 
-    // The engine takes each request and never sends a byte. The caller hears nothing and gives up at its timeout: the
-    // request is lost to it, which is the worst end there is and must not pass for a refusal.
+    // The engine accepts each request and never sends a byte, so the caller cancels it at its timeout. The request is
+    // lost, which is the worst outcome and must not be counted as a rejection.
     @Test
-    void countsSilenceAsLost() throws Exception {
+    void countsATimeoutAsLost() throws Exception {
         CustomerReport report =
                 runOnEngine(scenario(200, 1, 0), EngineOptions.defaults(), engine -> engine.setFault(EngineFault.HANG));
         assertEquals(REQUESTS, report.lost(), report::toString);
     }
 
-    // The engine answers with words that follow from something else than the request, as if the answers of two
-    // requests had been exchanged on their way. Status, framing and end mark are all in order.
+    // The engine's response does not match the request, as if the responses of two requests had been swapped. Status,
+    // framing and end mark are all valid.
     @Test
-    void countsAnotherRequestsAnswerAsLost() throws Exception {
+    void countsAnotherRequestsResponseAsLost() throws Exception {
         CustomerReport report =
                 runOnEngine(scenario(5_000, 1, 0), EngineOptions.defaults().seed(99), engine -> {});
         assertEquals(REQUESTS, report.lost(), report::toString);
         assertTrue(report.troubles().keySet().stream().allMatch(what -> what.startsWith("CROSSED")), report::toString);
     }
 
-    // Something on the way ends the answer early but frames it as complete: a 200 with a body that says no finish
-    // reason and a stream without its end mark. Only the content gives it away.
+    // An intermediary truncates the response but frames it as complete: a 200 response whose body has no finish reason,
+    // or a stream without its end mark. Only the content shows the truncation.
     @Test
-    void countsATruncatedAnswerFramedAsWholeAsLost() throws Exception {
+    void countsATruncatedResponseFramedAsCompleteAsLost() throws Exception {
         Undertow server = Undertow.builder()
                 .addHttpListener(0, "127.0.0.1")
                 .setIoThreads(1)
@@ -125,7 +126,7 @@
         }
     }
 
-    // Nobody listens where the caller connects, so no byte of a request goes out and "not run" is certain.
+    // The port that the caller connects to is closed, so no byte of a request is sent and "not run" is certain.
     @Test
     void countsAFailedConnectionAsNotRun() throws Exception {
         int freePort;
@@ -137,10 +138,11 @@
         assertEquals(REQUESTS, report.retries());
     }
 
-    // The service executes each call and cuts the connection in place of an answer. The call may not be repeated, so a
-    // caller that sent it again would have it executed twice; it must stop at "cannot know".
+    // The service executes each call and closes the connection instead of responding. The calls are not repeatable, so
+    // a
+    // retry would execute them twice; the caller must stop with an unknown outcome.
     @Test
-    void neverRepeatsACallThatMayNotBe() throws Exception {
+    void neverRetriesANonRepeatableCall() throws Exception {
         try (PlainService service = PlainService.start(1, 0)) {
             service.setFault(ServiceFault.BREAK_AFTER_EXECUTING);
             CustomerReport report = run(scenario(5_000, 3, 1), service.port());
--- a/tool/src/test/java/org/marjoramswitch/tool/replay/ReplayTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/replay/ReplayTest.java
@@ -50,8 +50,8 @@
     private final StringBuilder recording =
             new StringBuilder(EventJson.write(RecordingHeader.of(SELF, KernelOptions.defaults())) + "\n");
 
-    /** Tells the live kernel an event and records it, as an instance does. */
-    private void tell(Event event, long nowMs) {
+    /** Applies an event to the live kernel and records it, as an instance does. */
+    private void applyAndRecord(Event event, long nowMs) {
         recording.append(EventJson.write(new RecordedEvent(nowMs, event))).append('\n');
         for (Action action : live.apply(event, nowMs)) {
             if (action instanceof Action.Decided decided) {
@@ -80,13 +80,13 @@
     }
 
     private void runThreeRequests() {
-        tell(new Event.ViewChanged(FleetView.of(List.of(SELF))), 0);
-        tell(new Event.SettingsAccepted(settings()), 1);
-        tell(request(1, "quai-nord"), 2);
-        tell(request(2, "quai-nord"), 3);
-        tell(request(3, "quai-sud"), 4);
+        applyAndRecord(new Event.ViewChanged(FleetView.of(List.of(SELF))), 0);
+        applyAndRecord(new Event.SettingsAccepted(settings()), 1);
+        applyAndRecord(request(1, "quai-nord"), 2);
+        applyAndRecord(request(2, "quai-nord"), 3);
+        applyAndRecord(request(3, "quai-sud"), 4);
         for (long nowMs = TICK_MS; nowMs < END_MS; nowMs += TICK_MS) {
-            tell(new Event.Tick(), nowMs);
+            applyAndRecord(new Event.Tick(), nowMs);
             answerDue(nowMs);
         }
     }
@@ -97,7 +97,8 @@
                 .map(Map.Entry::getKey)
                 .toList();
         answersDueMs.keySet().removeAll(due);
-        due.forEach(id -> tell(new Event.TargetEnded(id, TargetOutcome.COMPLETED, Usage.of(20, 0, 90, 250)), nowMs));
+        due.forEach(id ->
+                applyAndRecord(new Event.TargetEnded(id, TargetOutcome.COMPLETED, Usage.of(20, 0, 90, 250)), nowMs));
     }
 
     private List<String> replay() throws IOException {
@@ -108,7 +109,7 @@
     }
 
     @Test
-    void takesTheDecisionsThatTheInstanceTook() throws Exception {
+    void reproducesTheDecisionsOfTheInstance() throws Exception {
         runThreeRequests();
         List<String> lines = replay();
         assertEquals(
@@ -124,13 +125,13 @@
     }
 
     @Test
-    void givesTheSameLinesEveryTime() throws Exception {
+    void isDeterministic() throws Exception {
         runThreeRequests();
         assertEquals(replay(), replay());
     }
 
     @Test
-    void refusesWhatIsNoRecording() {
+    void rejectsInvalidRecordings() {
         recording.setLength(0);
         assertThrows(IOException.class, this::replay);
         recording.append("{\"format\":99}\n");
--- a/tool/src/test/java/org/marjoramswitch/tool/settings/FaultyStore.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/settings/FaultyStore.java
@@ -7,7 +7,7 @@
 import org.marjoramswitch.daemon.platform.KeyValueResult;
 import org.marjoramswitch.daemon.platform.KeyValueStore;
 
-/** A store whose first write goes wrong in a way of the test's choice. */
+/** A store whose first write fails in a way that the test defines. */
 final class FaultyStore extends ForwardingKeyValueStore {
     private final FirstWrite firstWrite;
     private boolean written;
@@ -17,9 +17,9 @@
         this.firstWrite = firstWrite;
     }
 
-    /** What becomes of the first write; the call carries it out. */
+    /** Replaces the first write; {@code call} executes it on the underlying store. */
     interface FirstWrite {
-        KeyValueResult<Boolean> answer(Runnable call);
+        KeyValueResult<Boolean> execute(Runnable call);
     }
 
     @Override
@@ -30,11 +30,11 @@
         }
         written = true;
         return CompletableFuture.completedFuture(
-                firstWrite.answer(() -> super.compareAndSwap(expectedModRevisions, puts, deletes, leaseId)
+                firstWrite.execute(() -> super.compareAndSwap(expectedModRevisions, puts, deletes, leaseId)
                         .join()));
     }
 
-    /** The store is the test's to close. */
+    /** Does nothing, since the test closes the underlying store. */
     @Override
     public void close() {}
 }
--- a/tool/src/test/java/org/marjoramswitch/tool/settings/SettingsCommandsTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/settings/SettingsCommandsTest.java
@@ -68,10 +68,10 @@
         assertEquals(2, printed().lines().count());
     }
 
-    // An operator puts a file that was read before another operator's change. Taking it would undo that change without
-    // anyone having wished it.
+    // An operator puts a file that was read before another operator's change. Accepting it would silently revert that
+    // change.
     @Test
-    void refusesAFileOfAnOldVersion() throws Exception {
+    void rejectsAFileOfAnOldVersion() throws Exception {
         run("put", DOCUMENT, file("{\"defaults\": {\"weight\": 1}}"));
         run("get", DOCUMENT);
         String old = file(printed());
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void writesNothingThatTheAcceptorsWouldRefuse() throws Exception {
+    void rejectsDocumentsThatTheAcceptorsWouldReject() throws Exception {
         String faulty = file("{\"defaults\": {\"weight\": -1}, \"customers\": {\"a\": {}}}");
         assertEquals(ExitCode.INVALID, run("check", "--alone", DOCUMENT, faulty));
         assertEquals(ExitCode.INVALID, run("put", DOCUMENT, faulty));
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void hasAnExitCodeForEachWayToFail() throws Exception {
+    void returnsAnExitCodeForEachKindOfFailure() throws Exception {
         assertEquals(ExitCode.USAGE, run("get", "no-team"));
         assertEquals(ExitCode.USAGE, run("put", DOCUMENT));
         assertEquals(
--- a/tool/src/test/java/org/marjoramswitch/tool/settings/SettingsWriterTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/settings/SettingsWriterTest.java
@@ -75,17 +75,19 @@
     }
 
     @Test
-    void refusesToCreateOverADocument() throws Exception {
+    void rejectsCreatingAnExistingDocument() throws Exception {
         put(change("", "c1", 1));
         assertInstanceOf(PutResult.Conflict.class, put(change("", "c2", 2)));
         assertEquals("c1", storedChangeId());
     }
 
-    // Two operators of different teams change the same version at the same moment. Each has read the document and finds
-    // its base unchanged before either has written. One compare-and-swap gets in; the other operator must be told, not
-    // overwrite a change that they never saw.
+    // Two operators change the same version concurrently. Each has read the document and finds its base unchanged
+    // before
+    // either has written. One compare-and-swap succeeds; the other operator must get a conflict and must not overwrite
+    // a
+    // change that they never saw.
     @Test
-    void letsOneOfTwoRacingOperatorsThrough() throws Exception {
+    void acceptsExactlyOneOfTwoConcurrentWrites() throws Exception {
         String base = "";
         ExecutorService operators = Executors.newFixedThreadPool(2);
         for (int round = 0; round < 10; round++) {
@@ -105,19 +107,20 @@
         assertEquals(10, changeIds().size());
     }
 
-    // The service carries the write out and the connection is cut in place of the answer. The operator's tool thinks it
-    // may have failed; a plain second try would meet its own change as another's and report a conflict.
+    // The store executes the write but the connection is closed before the response. A plain retry would mistake its
+    // own
+    // change for another operator's and report a conflict.
     @Test
-    void settlesALostAnswerByReadingBack() throws Exception {
+    void resolvesALostResponseByReadingBack() throws Exception {
         gateway.loseAnswers(1);
         assertEquals(new PutResult.Written("c1", true), put(change("", "c1", 1)));
         assertEquals(List.of("c1"), changeIds());
     }
 
-    // The write takes effect, its answer is lost, and before the tool reads back another operator, who saw the new
-    // version, has changed it again. The document no longer shows the first change; its history does.
+    // The write takes effect, its response is lost, and before the tool reads back, another operator changes the new
+    // version. The document no longer contains the first change id; its history does.
     @Test
-    void findsAWriteInTheHistoryThatAnotherHasFollowed() throws Exception {
+    void findsAnOverwrittenWriteInTheHistory() throws Exception {
         FaultyStore store = new FaultyStore(connection.store(), call -> {
             call.run();
             try {
@@ -131,24 +134,25 @@
         assertEquals("c2", storedChangeId());
     }
 
-    // The write is held up on its way and the tool hears nothing; reading back shows the old version. The tool sends
-    // the same compare-and-swap again, and then the held-up one arrives as well. Only one of the two may count.
+    // The write is delayed in transit and times out; reading back shows the old version. The tool sends the same
+    // compare-and-swap again, and then the delayed one arrives as well. Only one of the two may take effect.
     @Test
-    void writesOnceWhereAHeldUpWriteArrivesLate() throws Exception {
-        Runnable[] heldUp = new Runnable[1];
+    void writesOnceIfADelayedWriteArrivesAfterItsRetry() throws Exception {
+        Runnable[] delayed = new Runnable[1];
         FaultyStore store = new FaultyStore(connection.store(), call -> {
-            heldUp[0] = call;
+            delayed[0] = call;
             return new KeyValueResult.OutcomeUnknown<>("timeout");
         });
         assertEquals(new PutResult.Written("c1", false), put(store, change("", "c1", 1)));
-        heldUp[0].run();
+        delayed[0].run();
         assertEquals(List.of("c1"), changeIds());
     }
 
-    // The write is held up, another operator's change gets in first, and the tool's own can never take effect any more:
-    // its revision has gone by. That is a certain conflict, not an unknown outcome.
+    // The write is delayed and another operator's change takes effect first. The delayed write expects an old revision
+    // and
+    // can no longer take effect, so this is a certain conflict, not an unknown outcome.
     @Test
-    void reportsAConflictWhereAnotherWriteOvertookAHeldUpOne() throws Exception {
+    void reportsAConflictIfAnotherWriteOvertakesADelayedOne() throws Exception {
         put(change("", "c0", 1));
         FaultyStore store = new FaultyStore(connection.store(), call -> {
             try {
@@ -162,10 +166,11 @@
         assertEquals("other", storedChangeId());
     }
 
-    // The answer is lost and the service goes away before the tool can read back. Neither "written" nor "not written"
-    // would be true.
+    // The response is lost and the store becomes unavailable before the tool can read back. Reporting either "written"
+    // or
+    // "not written" would be unfounded.
     @Test
-    void saysUnknownWhereTheServiceStaysAway() throws Exception {
+    void reportsUnknownIfTheStoreStaysUnavailable() throws Exception {
         FaultyStore store = new FaultyStore(connection.store(), call -> {
             call.run();
             gateway.answerUnavailable();
@@ -178,7 +183,7 @@
     }
 
     @Test
-    void saysUnavailableWhereNothingWasSent() throws Exception {
+    void reportsUnavailableIfNothingWasSent() throws Exception {
         gateway.answerUnavailable();
         assertInstanceOf(PutResult.Unavailable.class, put(change("", "c1", 1)));
     }
