--- a/tool/src/main/java/org/marjoramswitch/tool/command/DocumentArguments.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/DocumentArguments.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns the exit code for a command that requires a document if {@link #document} is null. */
-    ExitCode withoutDocument() {
+    ExitCode exitCodeWithoutDocument() {
         return hasFile ? ExitCode.INVALID : ExitCode.USAGE;
     }
 
--- a/tool/src/main/java/org/marjoramswitch/tool/command/ExplainCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/ExplainCommand.java
@@ -64,8 +64,9 @@
         for (String file : files) {
             Path path = Path.of(file);
             String source = String.valueOf(path.getFileName());
-            try (Stream<String> texts = Files.lines(path)) {
-                texts.filter(text -> text.contains("event="))
+            try (Stream<String> fileLines = Files.lines(path)) {
+                fileLines
+                        .filter(text -> text.contains("event="))
                         .map(text -> LogLine.parse(source, text))
                         .forEach(lines::add);
             }
--- a/tool/src/main/java/org/marjoramswitch/tool/command/SettingsCheckCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/SettingsCheckCommand.java
@@ -41,7 +41,7 @@
         }
         ObjectNode document = read.document();
         if (document == null) {
-            return read.withoutDocument();
+            return read.exitCodeWithoutDocument();
         }
         DocumentName name = read.name();
         if (alone) {
--- a/tool/src/main/java/org/marjoramswitch/tool/command/SettingsPutCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/SettingsPutCommand.java
@@ -59,7 +59,7 @@
         }
         ObjectNode document = read.document();
         if (document == null) {
-            return read.withoutDocument();
+            return read.exitCodeWithoutDocument();
         }
         return platform.withStore(console, store -> put(console, store, read.name(), document));
     }
--- a/tool/src/main/java/org/marjoramswitch/tool/demo/DemoMeter.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/demo/DemoMeter.java
@@ -35,7 +35,7 @@
     private double idleMs;
     private long gapTokens;
     private String gapBetween = "none";
-    private boolean hadWaiting;
+    private boolean hadRequestsWaiting;
     private DemoSample last;
 
     private DemoMeter(int slots, DemoSample first) {
@@ -48,13 +48,13 @@
     }
 
     /** @param elapsedMs time since the callers started */
-    void take(DemoSample sample, long elapsedMs) {
-        boolean waiting = sample.outstanding() > slots;
-        if (waiting && hadWaiting) {
+    void addSample(DemoSample sample, long elapsedMs) {
+        boolean requestsWaiting = sample.outstanding() > slots;
+        if (requestsWaiting && hadRequestsWaiting) {
             busyMs += sample.busySlotMs() - last.busySlotMs();
             idleMs += sample.idleSlotMs() - last.idleSlotMs();
         }
-        hadWaiting = waiting;
+        hadRequestsWaiting = requestsWaiting;
         last = sample;
         if (elapsedMs >= WARM_UP_MS) {
             compareCustomers(sample);
@@ -93,7 +93,7 @@
 
     private void compare(Pair pair, long difference) {
         Range range = ranges.merge(pair, new Range(difference, difference), Range::with);
-        long gained = range.most() - range.least();
+        long gained = range.max() - range.min();
         if (gained > gapTokens) {
             gapTokens = gained;
             gapBetween = pair.first() + "," + pair.second();
@@ -102,9 +102,9 @@
 
     private record Pair(String first, String second) {}
 
-    private record Range(long least, long most) {
+    private record Range(long min, long max) {
         Range with(Range other) {
-            return new Range(Math.min(least, other.least), Math.max(most, other.most));
+            return new Range(Math.min(min, other.min), Math.max(max, other.max));
         }
     }
 }
--- a/tool/src/main/java/org/marjoramswitch/tool/demo/DemoRun.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/demo/DemoRun.java
@@ -136,7 +136,7 @@
         try (CallerClient client = CallerClient.start(IO_THREADS)) {
             long startedNs = System.nanoTime();
             var unused = sampler.scheduleWithFixedDelay(
-                    () -> meter.take(
+                    () -> meter.addSample(
                             DemoSample.of(targets.counts(), outstanding.byCustomer()),
                             TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNs)),
                     SAMPLE_MS,
--- a/tool/src/main/java/org/marjoramswitch/tool/http/RunningCall.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/http/RunningCall.java
@@ -50,23 +50,23 @@
     /** Cancels the call unless it has ended; the listener receives {@link CallEnd#CANCELLED}. Safe from any thread. */
     public void cancel() {
         cancelled = true;
-        ClientConnection open = connection;
-        if (open == null) {
+        ClientConnection openConnection = connection;
+        if (openConnection == null) {
             end(CallEnd.CANCELLED);
             return;
         }
-        open.getIoThread().execute(() -> end(CallEnd.CANCELLED));
+        openConnection.getIoThread().execute(() -> end(CallEnd.CANCELLED));
     }
 
     void notConnected() {
         end(cancelled ? CallEnd.CANCELLED : CallEnd.NOT_CONNECTED);
     }
 
-    void send(ClientConnection open) {
-        connection = open;
+    void send(ClientConnection openConnection) {
+        connection = openConnection;
         if (cancelled) {
             end(CallEnd.CANCELLED);
-            IoUtils.safeClose(open);
+            IoUtils.safeClose(openConnection);
             return;
         }
         ClientRequest request =
@@ -75,7 +75,7 @@
         call.headers().forEach((name, value) -> headers.put(new HttpString(name), value));
         headers.put(Headers.HOST, address.toString());
         headers.put(Headers.CONTENT_LENGTH, call.body().length);
-        open.sendRequest(request, new ExchangeStarted());
+        openConnection.sendRequest(request, new ExchangeStarted());
     }
 
     private void write(StreamSinkChannel channel, ByteBuffer body) {
@@ -150,15 +150,15 @@
 
     /** Pools the connection after a complete exchange; otherwise closes it, as it may carry unread response bytes. */
     private void releaseConnection(CallEnd end) {
-        ClientConnection open = connection;
-        if (open == null) {
+        ClientConnection openConnection = connection;
+        if (openConnection == null) {
             return;
         }
         if (end == CallEnd.COMPLETE && requestWritten) {
-            open.getIoThread().execute(() -> idleConnections.accept(address, open));
+            openConnection.getIoThread().execute(() -> idleConnections.accept(address, openConnection));
             return;
         }
-        IoUtils.safeClose(open);
+        IoUtils.safeClose(openConnection);
     }
 
     private static Map<String, String> headersOf(HeaderMap headers) {
--- a/tool/src/main/java/org/marjoramswitch/tool/load/CustomerDriver.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/CustomerDriver.java
@@ -17,7 +17,7 @@
     private final CustomerStatistics statistics = new CustomerStatistics();
     private final List<Caller> callers =
             Stream.generate(Caller::new).limit(CALLERS).toList();
-    private int callerTurn;
+    private int callerIndex;
 
     private CustomerDriver(CustomerLoad load, RequestFactory requests, SplittableRandom arrivals) {
         this.load = load;
@@ -45,8 +45,8 @@
 
     OpenRequest nextRequest(long nowNs) {
         statistics.recordRequest();
-        callerTurn = (callerTurn + 1) % CALLERS;
-        return new OpenRequest(requests.next(), this, callers.get(callerTurn), nowNs);
+        callerIndex = (callerIndex + 1) % CALLERS;
+        return new OpenRequest(requests.next(), this, callers.get(callerIndex), nowNs);
     }
 
     /** Returns the time to the next arrival of an open loop, exponentially distributed (Poisson arrivals). */
--- a/tool/src/main/java/org/marjoramswitch/tool/load/EventStreamReader.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/EventStreamReader.java
@@ -15,7 +15,7 @@
         this.payloads = payloads;
     }
 
-    void take(byte[] bytes) {
+    void append(byte[] bytes) {
         for (byte next : bytes) {
             if (next == '\n') {
                 endLine();
--- a/tool/src/main/java/org/marjoramswitch/tool/load/LoadReportText.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/LoadReportText.java
@@ -24,7 +24,7 @@
                 "between p50/95/99",
                 "total p50/95/99 ms"));
         report.customers().forEach(customer -> text.append(customerRow(customer)));
-        appendTroubles(text, report.customers());
+        appendFailures(text, report.customers());
         return text.append(summary(report)).append('\n').toString();
     }
 
@@ -47,20 +47,20 @@
                 customer.broken(),
                 customer.lost(),
                 customer.retries(),
-                triple(customer.firstToken()),
-                triple(customer.betweenTokens()),
-                triple(customer.total()));
+                percentilesText(customer.firstToken()),
+                percentilesText(customer.betweenTokens()),
+                percentilesText(customer.total()));
     }
 
-    private static void appendTroubles(StringBuilder text, List<CustomerReport> customers) {
+    private static void appendFailures(StringBuilder text, List<CustomerReport> customers) {
         for (CustomerReport customer : customers) {
             customer.troubles()
-                    .forEach((what, times) -> text.append("event=load_trouble customer=")
+                    .forEach((failure, count) -> text.append("event=load_trouble customer=")
                             .append(customer.customer())
                             .append(" attempts=")
-                            .append(times)
+                            .append(count)
                             .append(" what=\"")
-                            .append(what)
+                            .append(failure)
                             .append("\"\n"));
         }
     }
@@ -70,7 +70,7 @@
         return line.stripTrailing() + "\n";
     }
 
-    private static String triple(Percentiles percentiles) {
+    private static String percentilesText(Percentiles percentiles) {
         if (percentiles.count() == 0) {
             return "-";
         }
--- a/tool/src/main/java/org/marjoramswitch/tool/load/LoadRun.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/LoadRun.java
@@ -126,9 +126,9 @@
 
     /** Sends the request as a new execution, with a new key. */
     private void send(OpenRequest request, long nowNs) {
-        withEndpoint(request, nowNs, (endpoint, later) -> {
+        withEndpoint(request, nowNs, (endpoint, laterNs) -> {
             request.renewKey(endpoint);
-            attempt(request, endpoint, later);
+            attempt(request, endpoint, laterNs);
         });
     }
 
@@ -142,7 +142,8 @@
         }
         if (caller.waitForAddress(new WaitingForAddress(request, action))) {
             addresses.fetch(
-                    request.customer().load(), response -> events.add(later -> onAddresses(caller, response, later)));
+                    request.customer().load(),
+                    response -> events.add(laterNs -> onAddresses(caller, response, laterNs)));
         }
     }
 
@@ -154,7 +155,7 @@
                 nowNs,
                 System::nanoTime,
                 request.customer().statistics()::recordTokenGap,
-                result -> events.add(later -> attemptEnded(request, result, later)));
+                result -> events.add(laterNs -> attemptEnded(request, result, laterNs)));
         request.attemptStarted(reader, client.start(endpoint.address(), request.callWithKey(), reader));
     }
 
@@ -194,7 +195,8 @@
             return;
         }
         customer.statistics().recordRetry();
-        timers.at(nowNs + TimeUnit.MILLISECONDS.toNanos(next.delayMs()), later -> retry(request, next.step(), later));
+        timers.at(
+                nowNs + TimeUnit.MILLISECONDS.toNanos(next.delayMs()), laterNs -> retry(request, next.step(), laterNs));
     }
 
     private void retry(OpenRequest request, RetryPolicy.Step step, long nowNs) {
@@ -207,7 +209,7 @@
             attempt(request, home, nowNs);
             return;
         }
-        withEndpoint(request, nowNs, (endpoint, later) -> attempt(request, endpoint, later));
+        withEndpoint(request, nowNs, (endpoint, laterNs) -> attempt(request, endpoint, laterNs));
     }
 
     private static void recordResponse(OpenRequest request, AttemptResult result) {
@@ -229,7 +231,7 @@
         }
         // Without the pause, a fleet that rejects immediately would be sent requests in a tight loop.
         long pauseNs = outcome == RequestOutcome.ANSWERED ? 0 : PAUSE_AFTER_FAILURE_NS;
-        timers.at(nowNs + pauseNs, later -> launch(customer, later));
+        timers.at(nowNs + pauseNs, laterNs -> launch(customer, laterNs));
     }
 
     private void checkSilence(long nowNs) {
--- a/tool/src/main/java/org/marjoramswitch/tool/load/ResponseReader.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/ResponseReader.java
@@ -77,7 +77,7 @@
     public void onBytes(byte[] bytes) {
         lastReceivedNs = clockNs.getAsLong();
         if (eventStream) {
-            events.take(bytes);
+            events.append(bytes);
             return;
         }
         body.writeBytes(bytes);
--- a/tool/src/main/java/org/marjoramswitch/tool/load/ScenarioReader.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/ScenarioReader.java
@@ -62,16 +62,16 @@
 
     private static Result check(Scenario scenario) {
         Faults faults = new Faults();
-        faults.unless(scenario.seconds() > 0 && scenario.seconds() <= MAX_SECONDS, "seconds", "1 to " + MAX_SECONDS);
-        faults.unless(
+        faults.require(scenario.seconds() > 0 && scenario.seconds() <= MAX_SECONDS, "seconds", "1 to " + MAX_SECONDS);
+        faults.require(
                 scenario.maxRequests() > 0 && scenario.maxRequests() <= MAX_REQUESTS,
                 "maxRequests",
                 "1 to " + MAX_REQUESTS);
-        faults.unless(scenario.answerTimeoutMs() > 0, "answerTimeoutMs", "above 0");
-        faults.unless(scenario.maxAttempts() > 0, "maxAttempts", "above 0");
-        faults.unless(!scenario.customers().isEmpty(), "customers", "at least one");
+        faults.require(scenario.answerTimeoutMs() > 0, "answerTimeoutMs", "above 0");
+        faults.require(scenario.maxAttempts() > 0, "maxAttempts", "above 0");
+        faults.require(!scenario.customers().isEmpty(), "customers", "at least one");
         for (int i = 0; i < scenario.instances().size(); i++) {
-            faults.unless(isAddress(scenario.instances().get(i)), "instances/" + i, "host:port");
+            faults.require(isAddress(scenario.instances().get(i)), "instances/" + i, "host:port");
         }
         checkCustomers(scenario, faults);
         return faults.found.isEmpty() ? new Result.Valid(scenario) : new Result.Invalid(faults.found);
@@ -83,11 +83,11 @@
         for (int i = 0; i < scenario.customers().size(); i++) {
             CustomerLoad customer = scenario.customers().get(i);
             String path = "customers/" + i;
-            faults.unless(names.add(customer.customer()), path + "/customer", "a name of its own");
+            faults.require(names.add(customer.customer()), path + "/customer", "a name of its own");
             checkCustomer(customer, path, faults);
             concurrency += Math.max(0, customer.concurrency());
         }
-        faults.unless(
+        faults.require(
                 concurrency <= LoadRun.MAX_OUTSTANDING,
                 "customers",
                 "a concurrency of " + LoadRun.MAX_OUTSTANDING + " in all");
@@ -96,17 +96,17 @@
     private static void checkCustomer(CustomerLoad customer, String path, Faults faults) {
         boolean openLoop = customer.ratePerSecond() > 0;
         boolean closedLoop = customer.concurrency() > 0;
-        faults.unless(openLoop != closedLoop, path, "either ratePerSecond or concurrency above 0");
-        faults.unless(isShare(customer.streamingShare()), path + "/streamingShare", "0 to 1");
-        faults.unless(isShare(customer.urgentShare()), path + "/urgentShare", "0 to 1");
-        faults.unless(
+        faults.require(openLoop != closedLoop, path, "either ratePerSecond or concurrency above 0");
+        faults.require(isShare(customer.streamingShare()), path + "/streamingShare", "0 to 1");
+        faults.require(isShare(customer.urgentShare()), path + "/urgentShare", "0 to 1");
+        faults.require(
                 isUsable(customer.promptTokens()), path + "/promptTokens", "median and max above 0, sigma not below");
-        faults.unless(isUsable(customer.maxTokens()), path + "/maxTokens", "median and max above 0, sigma not below");
+        faults.require(isUsable(customer.maxTokens()), path + "/maxTokens", "median and max above 0, sigma not below");
         ServiceLoad service = customer.service();
         if (service != null) {
-            faults.unless(isShare(service.share()), path + "/service/share", "0 to 1");
-            faults.unless(isShare(service.notRepeatableShare()), path + "/service/notRepeatableShare", "0 to 1");
-            faults.unless(service.path().startsWith("/"), path + "/service/path", "begins with /");
+            faults.require(isShare(service.share()), path + "/service/share", "0 to 1");
+            faults.require(isShare(service.notRepeatableShare()), path + "/service/notRepeatableShare", "0 to 1");
+            faults.require(service.path().startsWith("/"), path + "/service/path", "begins with /");
         }
     }
 
@@ -129,9 +129,9 @@
     private static final class Faults {
         private final List<String> found = new ArrayList<>();
 
-        void unless(boolean fine, String path, String wanted) {
-            if (!fine) {
-                found.add(path + ": must be " + wanted);
+        void require(boolean valid, String path, String expected) {
+            if (!valid) {
+                found.add(path + ": must be " + expected);
             }
         }
     }
--- a/tool/src/main/java/org/marjoramswitch/tool/replay/Replay.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/replay/Replay.java
@@ -65,12 +65,12 @@
         InstanceKernel kernel = InstanceKernel.create(header.self(), header.options());
         Replay replay = new Replay(kernel, lines);
         for (String line = recording.readLine(); line != null; line = recording.readLine()) {
-            replay.take(EventJson.readEvent(line));
+            replay.apply(EventJson.readEvent(line));
         }
         return new Summary(replay.events, replay.decisions, replay.completed, replay.failed);
     }
 
-    private void take(RecordedEvent recorded) {
+    private void apply(RecordedEvent recorded) {
         events++;
         for (Action action : kernel.apply(recorded.event(), recorded.atMs())) {
             if (action instanceof Action.Decided decided) {
--- a/tool/src/main/java/org/marjoramswitch/tool/settings/SettingsWriter.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/settings/SettingsWriter.java
@@ -65,15 +65,15 @@
             long nowMs) {}
 
     public PutResult put(Put put) throws InterruptedException {
-        Reading reading = read(put.name());
-        if (reading.failure() != null) {
-            return new PutResult.Unavailable(reading.failure());
+        ReadResult current = read(put.name());
+        if (current.failure() != null) {
+            return new PutResult.Unavailable(current.failure());
         }
         String base = put.baseChangeId();
-        if (base != null && !isBase(reading.document(), base)) {
-            return new PutResult.Conflict(base, reading.document());
+        if (base != null && !isBase(current.document(), base)) {
+            return new PutResult.Conflict(base, current.document());
         }
-        return write(put, reading);
+        return write(put, current);
     }
 
     private static boolean isBase(StoredDocument document, String baseChangeId) {
@@ -82,7 +82,7 @@
                 : document.exists() && document.changeId().equals(baseChangeId);
     }
 
-    private PutResult write(Put put, Reading base) throws InterruptedException {
+    private PutResult write(Put put, ReadResult base) throws InterruptedException {
         boolean mayHaveTakenEffect = false;
         String reason = "";
         for (int attempt = 1; attempt <= MAX_ATTEMPTS; attempt++) {
@@ -97,15 +97,15 @@
                 return new PutResult.Unavailable(reason);
             }
             pause.await(attempt);
-            PutResult settled = resolveByReading(put, base);
-            if (settled != null) {
-                return settled;
+            PutResult outcome = resolveByReading(put, base);
+            if (outcome != null) {
+                return outcome;
             }
         }
         return new PutResult.OutcomeUnknown(put.changeId(), reason);
     }
 
-    private KeyValueResult<Boolean> compareAndSwap(Put put, Reading base) {
+    private KeyValueResult<Boolean> compareAndSwap(Put put, ReadResult base) {
         String json = DocumentJson.withChangeId(put.document(), put.changeId());
         History history = base.history().with(new History.Change(put.changeId(), put.nowMs(), put.operator(), json));
         Map<String, Long> expected = Map.of(
@@ -115,48 +115,48 @@
     }
 
     /** Determines the outcome by reading back; returns null if it is undetermined and the write may be sent again. */
-    private @Nullable PutResult resolveByReading(Put put, Reading base) {
-        Reading now = read(put.name());
+    private @Nullable PutResult resolveByReading(Put put, ReadResult base) {
+        ReadResult now = read(put.name());
         if (now.failure() != null) {
             return null;
         }
         if (now.document().changeId().equals(put.changeId()) || now.history().holds(put.changeId())) {
             return new PutResult.Written(put.changeId(), true);
         }
-        boolean untouched = now.document().modRevision() == base.document().modRevision()
+        boolean unchanged = now.document().modRevision() == base.document().modRevision()
                 && now.historyRevision() == base.historyRevision();
-        if (untouched) {
+        if (unchanged) {
             return null;
         }
         return new PutResult.Conflict(base.document().changeId(), now.document());
     }
 
-    private Reading read(DocumentName name) {
+    private ReadResult read(DocumentName name) {
         KeyValueResult<KeyValueStore.@Nullable Entry> document =
                 store.get(name.key()).join();
         if (!(document instanceof KeyValueResult.Answered<KeyValueStore.@Nullable Entry> foundDocument)) {
-            return Reading.failed(FailureReasons.of(document));
+            return ReadResult.failed(FailureReasons.of(document));
         }
         KeyValueResult<KeyValueStore.@Nullable Entry> history =
                 store.get(name.historyKey()).join();
         if (!(history instanceof KeyValueResult.Answered<KeyValueStore.@Nullable Entry> foundHistory)) {
-            return Reading.failed(FailureReasons.of(history));
+            return ReadResult.failed(FailureReasons.of(history));
         }
-        return Reading.of(foundDocument.value(), foundHistory.value());
+        return ReadResult.of(foundDocument.value(), foundHistory.value());
     }
 
     /** A document and its history; {@code failure} is the reason if they could not be read, otherwise null. */
-    private record Reading(
+    private record ReadResult(
             StoredDocument document,
             History history,
             long historyRevision,
             @Nullable String failure) {
-        static Reading failed(String reason) {
-            return new Reading(StoredDocument.ABSENT, History.EMPTY, 0, reason);
+        static ReadResult failed(String reason) {
+            return new ReadResult(StoredDocument.ABSENT, History.EMPTY, 0, reason);
         }
 
-        static Reading of(KeyValueStore.@Nullable Entry document, KeyValueStore.@Nullable Entry history) {
-            return new Reading(
+        static ReadResult of(KeyValueStore.@Nullable Entry document, KeyValueStore.@Nullable Entry history) {
+            return new ReadResult(
                     StoredDocument.of(document),
                     history == null ? History.EMPTY : History.parse(history.value()),
                     history == null ? 0 : history.modRevision(),
