--- a/tool/src/main/java/org/marjoramswitch/tool/command/ExplainCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/ExplainCommand.java
@@ -18,7 +18,7 @@
 import org.marjoramswitch.tool.explain.Explanation;
 import org.marjoramswitch.tool.explain.LogLine;
 
-/** Explains a request's way. */
+/** Explains from logs why a request was sent to its target or rejected. */
 @Command(name = "explain", description = "Tells from the instances' logs why a request went where it did")
 @Discussion(
         paragraphs = {
@@ -64,8 +64,9 @@
         for (String file : files) {
             Path path = Path.of(file);
             String source = String.valueOf(path.getFileName());
-            try (Stream<String> texts = Files.lines(path)) {
-                texts.filter(text -> text.contains("event="))
+            try (Stream<String> fileLines = Files.lines(path)) {
+                fileLines
+                        .filter(text -> text.contains("event="))
                         .map(text -> LogLine.parse(source, text))
                         .forEach(lines::add);
             }
--- a/tool/src/main/java/org/marjoramswitch/tool/command/SettingsPutCommand.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/command/SettingsPutCommand.java
@@ -23,7 +23,7 @@
 import org.marjoramswitch.tool.settings.SettingsView.UnavailableException;
 import org.marjoramswitch.tool.settings.SettingsWriter;
 
-/** Writes a settings document. */
+/** Writes a settings document unless someone else has changed it since it was read. */
 @Command(name = "put", description = "Writes a settings document where nobody else has changed it")
 @Discussion(
         paragraphs = {
@@ -59,7 +59,7 @@
         }
         ObjectNode document = read.document();
         if (document == null) {
-            return read.withoutDocument();
+            return read.exitCodeWithoutDocument();
         }
         return platform.withStore(console, store -> put(console, store, read.name(), document));
     }
--- a/tool/src/main/java/org/marjoramswitch/tool/http/RunningCall.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/http/RunningCall.java
@@ -23,46 +23,50 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** One call on its connection; all but {@link #cancel} happens on the connection's IO thread. */
+/** A call in progress. All methods except {@link #cancel} run on the I/O thread of the call's connection. */
 public final class RunningCall {
     private static final int READ_BYTES = 8 * 1024;
 
     private final HttpCall call;
     private final HostPort address;
     private final CallListener listener;
-    private final BiConsumer<HostPort, ClientConnection> keeper;
+    private final BiConsumer<HostPort, ClientConnection> idleConnections;
     private final AtomicBoolean ended = new AtomicBoolean();
     private volatile @Nullable ClientConnection connection;
     private volatile boolean cancelled;
     private boolean requestWritten;
 
-    RunningCall(HttpCall call, HostPort address, CallListener listener, BiConsumer<HostPort, ClientConnection> keeper) {
+    RunningCall(
+            HttpCall call,
+            HostPort address,
+            CallListener listener,
+            BiConsumer<HostPort, ClientConnection> idleConnections) {
         this.call = call;
         this.address = address;
         this.listener = listener;
-        this.keeper = keeper;
+        this.idleConnections = idleConnections;
     }
 
-    /** Cuts the call where it still runs; the listener gets {@link CallEnd#CANCELLED}. */
+    /** Cancels the call unless it has ended; the listener receives {@link CallEnd#CANCELLED}. Safe from any thread. */
     public void cancel() {
         cancelled = true;
-        ClientConnection open = connection;
-        if (open == null) {
+        ClientConnection openConnection = connection;
+        if (openConnection == null) {
             end(CallEnd.CANCELLED);
             return;
         }
-        open.getIoThread().execute(() -> end(CallEnd.CANCELLED));
+        openConnection.getIoThread().execute(() -> end(CallEnd.CANCELLED));
     }
 
     void notConnected() {
         end(cancelled ? CallEnd.CANCELLED : CallEnd.NOT_CONNECTED);
     }
 
-    void send(ClientConnection open) {
-        connection = open;
+    void send(ClientConnection openConnection) {
+        connection = openConnection;
         if (cancelled) {
             end(CallEnd.CANCELLED);
-            IoUtils.safeClose(open);
+            IoUtils.safeClose(openConnection);
             return;
         }
         ClientRequest request =
@@ -71,7 +75,7 @@
         call.headers().forEach((name, value) -> headers.put(new HttpString(name), value));
         headers.put(Headers.HOST, address.toString());
         headers.put(Headers.CONTENT_LENGTH, call.body().length);
-        open.sendRequest(request, new ExchangeStarted());
+        openConnection.sendRequest(request, new ExchangeStarted());
     }
 
     private void write(StreamSinkChannel channel, ByteBuffer body) {
@@ -104,7 +108,7 @@
         }
     }
 
-    private void readAnswer(ClientExchange exchange) {
+    private void readResponse(ClientExchange exchange) {
         ClientResponse response = exchange.getResponse();
         listener.onHead(response.getResponseCode(), headersOf(response.getResponseHeaders()));
         StreamSourceChannel channel = exchange.getResponseChannel();
@@ -123,7 +127,7 @@
                     return;
                 }
                 if (count < 0) {
-                    end(CallEnd.WHOLE);
+                    end(CallEnd.COMPLETE);
                     return;
                 }
                 byte[] bytes = new byte[count];
@@ -144,17 +148,17 @@
         listener.onEnd(end);
     }
 
-    /** A connection on which anything was cut short may carry the rest of an old answer, so it is closed. */
+    /** Pools the connection after a complete exchange; otherwise closes it, as it may carry unread response bytes. */
     private void releaseConnection(CallEnd end) {
-        ClientConnection open = connection;
-        if (open == null) {
+        ClientConnection openConnection = connection;
+        if (openConnection == null) {
             return;
         }
-        if (end == CallEnd.WHOLE && requestWritten) {
-            open.getIoThread().execute(() -> keeper.accept(address, open));
+        if (end == CallEnd.COMPLETE && requestWritten) {
+            openConnection.getIoThread().execute(() -> idleConnections.accept(address, openConnection));
             return;
         }
-        IoUtils.safeClose(open);
+        IoUtils.safeClose(openConnection);
     }
 
     private static Map<String, String> headersOf(HeaderMap headers) {
@@ -168,7 +172,7 @@
     private final class ExchangeStarted implements ClientCallback<ClientExchange> {
         @Override
         public void completed(ClientExchange exchange) {
-            exchange.setResponseListener(new AnswerBegun());
+            exchange.setResponseListener(new ResponseStarted());
             write(exchange.getRequestChannel(), ByteBuffer.wrap(call.body()));
         }
 
@@ -178,10 +182,10 @@
         }
     }
 
-    private final class AnswerBegun implements ClientCallback<ClientExchange> {
+    private final class ResponseStarted implements ClientCallback<ClientExchange> {
         @Override
         public void completed(ClientExchange exchange) {
-            readAnswer(exchange);
+            readResponse(exchange);
         }
 
         @Override
--- a/tool/src/main/java/org/marjoramswitch/tool/load/ScenarioReader.java
+++ b/tool/src/main/java/org/marjoramswitch/tool/load/ScenarioReader.java
@@ -15,11 +15,12 @@
 import org.marjoramswitch.tool.load.Scenario.CustomerLoad;
 import org.marjoramswitch.tool.load.Scenario.ServiceLoad;
 
-/** Reads a scenario and names every fault in it at once. */
+/** Parses a scenario and reports all its faults together. */
 public final class ScenarioReader {
-    /** A load is bounded: no scenario asks for more than this. */
+    /** Upper bound of {@link Scenario#maxRequests}, so that every load is bounded. */
     static final long MAX_REQUESTS = 1_000_000;
 
+    /** Upper bound of {@link Scenario#seconds}. */
     static final long MAX_SECONDS = 3_600;
 
     private static final ObjectMapper JSON = new ObjectMapper()
@@ -29,11 +30,11 @@
 
     private ScenarioReader() {}
 
-    /** What was read. */
+    /** Result of reading a scenario. */
     public sealed interface Result {
         record Valid(Scenario scenario) implements Result {}
 
-        /** Each fault with its path. */
+        /** @param faults each with the path of the faulty value */
         record Invalid(List<String> faults) implements Result {}
     }
 
@@ -45,7 +46,7 @@
         }
     }
 
-    /** One of the scenarios that come with the tool: those of {@code examples/}. */
+    /** Returns a scenario packaged with the tool, from {@code examples/}. */
     public static Scenario builtIn(String name) throws IOException {
         try (InputStream resource = ScenarioReader.class.getResourceAsStream(name + ".json")) {
             if (resource == null) {
@@ -61,16 +62,16 @@
 
     private static Result check(Scenario scenario) {
         Faults faults = new Faults();
-        faults.unless(scenario.seconds() > 0 && scenario.seconds() <= MAX_SECONDS, "seconds", "1 to " + MAX_SECONDS);
-        faults.unless(
+        faults.require(scenario.seconds() > 0 && scenario.seconds() <= MAX_SECONDS, "seconds", "1 to " + MAX_SECONDS);
+        faults.require(
                 scenario.maxRequests() > 0 && scenario.maxRequests() <= MAX_REQUESTS,
                 "maxRequests",
                 "1 to " + MAX_REQUESTS);
-        faults.unless(scenario.answerTimeoutMs() > 0, "answerTimeoutMs", "above 0");
-        faults.unless(scenario.maxAttempts() > 0, "maxAttempts", "above 0");
-        faults.unless(!scenario.customers().isEmpty(), "customers", "at least one");
+        faults.require(scenario.answerTimeoutMs() > 0, "answerTimeoutMs", "above 0");
+        faults.require(scenario.maxAttempts() > 0, "maxAttempts", "above 0");
+        faults.require(!scenario.customers().isEmpty(), "customers", "at least one");
         for (int i = 0; i < scenario.instances().size(); i++) {
-            faults.unless(isAddress(scenario.instances().get(i)), "instances/" + i, "host:port");
+            faults.require(isAddress(scenario.instances().get(i)), "instances/" + i, "host:port");
         }
         checkCustomers(scenario, faults);
         return faults.found.isEmpty() ? new Result.Valid(scenario) : new Result.Invalid(faults.found);
@@ -82,11 +83,11 @@
         for (int i = 0; i < scenario.customers().size(); i++) {
             CustomerLoad customer = scenario.customers().get(i);
             String path = "customers/" + i;
-            faults.unless(names.add(customer.customer()), path + "/customer", "a name of its own");
+            faults.require(names.add(customer.customer()), path + "/customer", "a name of its own");
             checkCustomer(customer, path, faults);
             concurrency += Math.max(0, customer.concurrency());
         }
-        faults.unless(
+        faults.require(
                 concurrency <= LoadRun.MAX_OUTSTANDING,
                 "customers",
                 "a concurrency of " + LoadRun.MAX_OUTSTANDING + " in all");
@@ -95,17 +96,17 @@
     private static void checkCustomer(CustomerLoad customer, String path, Faults faults) {
         boolean openLoop = customer.ratePerSecond() > 0;
         boolean closedLoop = customer.concurrency() > 0;
-        faults.unless(openLoop != closedLoop, path, "either ratePerSecond or concurrency above 0");
-        faults.unless(isShare(customer.streamingShare()), path + "/streamingShare", "0 to 1");
-        faults.unless(isShare(customer.urgentShare()), path + "/urgentShare", "0 to 1");
-        faults.unless(
+        faults.require(openLoop != closedLoop, path, "either ratePerSecond or concurrency above 0");
+        faults.require(isShare(customer.streamingShare()), path + "/streamingShare", "0 to 1");
+        faults.require(isShare(customer.urgentShare()), path + "/urgentShare", "0 to 1");
+        faults.require(
                 isUsable(customer.promptTokens()), path + "/promptTokens", "median and max above 0, sigma not below");
-        faults.unless(isUsable(customer.maxTokens()), path + "/maxTokens", "median and max above 0, sigma not below");
+        faults.require(isUsable(customer.maxTokens()), path + "/maxTokens", "median and max above 0, sigma not below");
         ServiceLoad service = customer.service();
         if (service != null) {
-            faults.unless(isShare(service.share()), path + "/service/share", "0 to 1");
-            faults.unless(isShare(service.notRepeatableShare()), path + "/service/notRepeatableShare", "0 to 1");
-            faults.unless(service.path().startsWith("/"), path + "/service/path", "begins with /");
+            faults.require(isShare(service.share()), path + "/service/share", "0 to 1");
+            faults.require(isShare(service.notRepeatableShare()), path + "/service/notRepeatableShare", "0 to 1");
+            faults.require(service.path().startsWith("/"), path + "/service/path", "begins with /");
         }
     }
 
@@ -128,9 +129,9 @@
     private static final class Faults {
         private final List<String> found = new ArrayList<>();
 
-        void unless(boolean fine, String path, String wanted) {
-            if (!fine) {
-                found.add(path + ": must be " + wanted);
+        void require(boolean valid, String path, String expected) {
+            if (!valid) {
+                found.add(path + ": must be " + expected);
             }
         }
     }
