--- a/kernel/src/main/java/org/marjoramswitch/kernel/InstanceKernel.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/InstanceKernel.java
@@ -91,12 +91,12 @@
 
     /** Returns the number of requests of this instance's callers that have not ended. */
     public int openRequests() {
-        return entry.open();
+        return entry.openCount();
     }
 
     /** Returns the number of requests of this instance's callers that wait for a grant. */
     public int waitingRequests() {
-        return entry.waiting();
+        return entry.waitingCount();
     }
 
     /** Returns the cells that this instance currently arbitrates. */
@@ -123,7 +123,7 @@
 
     /** Returns the maximum time until the next event, in milliseconds. */
     public long tickMs() {
-        boolean waiting = entry.waiting() > 0 || !arbiters.isEmpty() || placements.isWaiting();
+        boolean waiting = entry.waitingCount() > 0 || !arbiters.isEmpty() || placements.isWaiting();
         return waiting ? BUSY_TICK_MS : QUIET_TICK_MS;
     }
 
@@ -133,7 +133,7 @@
         ActionSink sink = action -> emit(action, actions);
         handle(event, nowMs, sink);
         processPending(nowMs, sink);
-        if (draining && !drained && entry.open() == 0) {
+        if (draining && !drained && entry.openCount() == 0) {
             drained = true;
             actions.add(new Action.Drained());
         }
@@ -249,7 +249,8 @@
         } else if (message instanceof PeerMessage.Ended ended) {
             withArbiter(
                     ended.cell(),
-                    arbiter -> arbiter.ended(from, ended.sequence(), ended.costTokens(), ended.targetFault(), nowMs));
+                    arbiter -> arbiter.attemptEnded(
+                            from, ended.sequence(), ended.costTokens(), ended.targetFault(), nowMs));
         } else if (message instanceof PeerMessage.Charges charges) {
             chargesReceived(charges);
         } else if (message instanceof PeerMessage.TargetLeaving leaving) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/PlacementArbiters.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/PlacementArbiters.java
@@ -53,11 +53,11 @@
             return withdrawn.cell();
         }
         if (message instanceof PeerMessage.PlacementAnswering answering) {
-            arbiter(answering.cell()).answering(from, answering.ask(), nowMs);
+            arbiter(answering.cell()).responseStarted(from, answering.ask(), nowMs);
             return answering.cell();
         }
         if (message instanceof PeerMessage.PlacementEnded ended) {
-            arbiter(ended.cell()).ended(from, ended, nowMs);
+            arbiter(ended.cell()).attemptEnded(from, ended, nowMs);
             return ended.cell();
         }
         return null;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/Arbiter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/Arbiter.java
@@ -218,7 +218,7 @@
         shares.charge(request.customer(), request.recharge(expected));
     }
 
-    public void ended(InstanceId entry, long sequence, long costTokens, boolean targetFault, long nowMs) {
+    public void attemptEnded(InstanceId entry, long sequence, long costTokens, boolean targetFault, long nowMs) {
         EntryState state = entries.get(entry);
         GrantedRequest request = state == null ? null : state.granted().remove(sequence);
         if (request == null) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
@@ -96,11 +96,11 @@
     }
 
     /** The number of requests that have not ended. */
-    public int open() {
+    public int openCount() {
         return requests.size();
     }
 
-    public int waiting() {
+    public int waitingCount() {
         return totalWaiting;
     }
 
@@ -147,7 +147,7 @@
     public void responseStarted(long requestId, ActionSink sink) {
         EntryRequest request = requests.get(requestId);
         if (request != null && request.target() != null) {
-            placements.answering(request, sink);
+            placements.responseStarted(request, sink);
         }
     }
 
@@ -167,7 +167,7 @@
         // The arbiter does not know yet that the target is gone, draining or in backoff. The next placement request
         // excludes the target.
         boolean onlyTarget = usable && placements.wasExcluded(request, placed.target());
-        placements.ended(request, PlacementEnd.NOT_RUN, sink);
+        placements.attemptEnded(request, PlacementEnd.NOT_RUN, sink);
         if (onlyTarget) {
             // The arbiter selected an excluded target for lack of another one. It would do so again until the backoff
             // has elapsed.
@@ -255,7 +255,7 @@
         PoolQueues pool = pool(request.spec().pool());
         CellLink link = linkOf(request);
         settle(request, outcome, usage, link, sink);
-        placements.ended(request, AttemptRules.placementEnd(outcome), sink);
+        placements.attemptEnded(request, AttemptRules.placementEnd(outcome), sink);
         if (!outcome.notRun()) {
             request.markMayHaveRun();
         }
@@ -646,7 +646,7 @@
             return;
         }
         sink.accept(new Action.CancelAttempt(request.spec().requestId(), target));
-        placements.ended(request, PlacementEnd.GIVEN_UP, sink);
+        placements.attemptEnded(request, PlacementEnd.GIVEN_UP, sink);
         request.markMayHaveRun();
         fail(request, ErrorType.REQUEST_TIMEOUT, 0, target.name(), sink);
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Placements.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Placements.java
@@ -184,12 +184,12 @@
     }
 
     /** The first byte of the running attempt's response has arrived. */
-    void answering(EntryRequest request, ActionSink sink) {
+    void responseStarted(EntryRequest request, ActionSink sink) {
         PlacementRequest placement = byRequest.get(request.spec().requestId());
-        if (placement == null || !placement.placed || placement.answering) {
+        if (placement == null || !placement.placed || placement.responseStarted) {
             return;
         }
-        placement.answering = true;
+        placement.responseStarted = true;
         sendToAccounting(placement, new PeerMessage.PlacementAnswering(placement.cell, placement.id), sink);
     }
 
@@ -197,7 +197,7 @@
      * The running attempt ended. A stream is counted in events, each of which may contain several tokens, so after a
      * complete response the expected number of output tokens counts as produced.
      */
-    void ended(EntryRequest request, PlacementEnd end, ActionSink sink) {
+    void attemptEnded(EntryRequest request, PlacementEnd end, ActionSink sink) {
         PlacementRequest placement = byRequest.get(request.spec().requestId());
         if (placement != null && placement.placed) {
             close(placement);
@@ -284,7 +284,7 @@
                     target,
                     spec.promptTokens(),
                     spec.outputTokens(),
-                    placement.answering));
+                    placement.responseStarted));
         }
         if (!held.isEmpty()) {
             sink.accept(new Action.SendPeer(arbiter, new PeerMessage.PlacementsHeld(cell, held)));
@@ -369,7 +369,7 @@
         private InstanceId arbiter;
         private long sentAtMs;
         private boolean placed;
-        private boolean answering;
+        private boolean responseStarted;
         /** The arbiters that account for the slot: the one that placed the request and those notified of it since. */
         private final Set<InstanceId> accountingArbiters = new TreeSet<>();
         /** Whether targets are excluded because they are in backoff. */
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
@@ -128,12 +128,12 @@
     }
 
     /** Records that the first byte of a request's response has arrived. */
-    public void answering(InstanceId entry, long placementId, long nowMs) {
+    public void responseStarted(InstanceId entry, long placementId, long nowMs) {
         RunningRequest request = running.getOrDefault(entry, Map.of()).get(placementId);
-        if (request == null || request.answering()) {
+        if (request == null || request.responseStarted()) {
             return;
         }
-        runningOf(entry).put(placementId, request.withAnswering());
+        runningOf(entry).put(placementId, request.withResponseStarted());
         TargetLoad target = targetOf(request);
         if (target != null) {
             target.prefilled(request.prompt(), request.prefillTokens(), nowMs);
@@ -144,7 +144,7 @@
     }
 
     /** Records that a request has ended at its target. */
-    public void ended(InstanceId entry, PeerMessage.PlacementEnded ended, long nowMs) {
+    public void attemptEnded(InstanceId entry, PeerMessage.PlacementEnded ended, long nowMs) {
         RunningRequest request = runningOf(entry).remove(ended.ask());
         if (request == null) {
             return;
@@ -393,7 +393,7 @@
             return;
         }
         target.ended(request.memoryTokens(), nowMs);
-        if (!request.answering()) {
+        if (!request.responseStarted()) {
             target.notPrefilled(request.prompt(), request.prefillTokens(), nowMs);
         }
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/RunningRequest.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/RunningRequest.java
@@ -24,7 +24,7 @@
         long prefillTokens,
         double tokensAhead,
         long startedAtMs,
-        boolean answering) {
+        boolean responseStarted) {
     /** Creates a request that this arbiter places at a target. */
     static RunningRequest placed(WaitingRequest request, TargetChoice.Chosen chosen, double tokensAhead, long nowMs) {
         return new RunningRequest(
@@ -63,7 +63,7 @@
         return WaitingRequest.cost(promptTokens, outputTokens);
     }
 
-    RunningRequest withAnswering() {
+    RunningRequest withResponseStarted() {
         return new RunningRequest(
                 customer,
                 target,
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetLoad.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetLoad.java
@@ -107,10 +107,10 @@
     }
 
     /** Adds a request that another arbiter placed here. */
-    void takeOver(long prefillTokens, long memoryNeeded, boolean answering, long nowMs) {
+    void takeOver(long prefillTokens, long memoryNeeded, boolean responseStarted, long nowMs) {
         inFlight++;
         runningTokens += memoryNeeded;
-        if (answering) {
+        if (responseStarted) {
             return;
         }
         if (pendingPrefillTokens == 0) {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/arbiter/ArbiterTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/arbiter/ArbiterTest.java
@@ -68,7 +68,7 @@
         register(E1, List.of(offer(A, 1)), List.of(holding(77, A)), 1);
 
         assertEquals(List.of(), grants(NOW_MS));
-        arbiter.ended(E1, -77, 10, false, NOW_MS);
+        arbiter.attemptEnded(E1, -77, 10, false, NOW_MS);
         assertEquals(1, grants(NOW_MS).size());
     }
 
@@ -109,13 +109,13 @@
         // queue, so every request would fail although the other targets work.
         register(E1, offer(A, 16));
         for (int i = 0; i < 3; i++) {
-            grants(NOW_MS).forEach(grant -> arbiter.ended(E1, grant.sequence(), 0, true, NOW_MS));
+            grants(NOW_MS).forEach(grant -> arbiter.attemptEnded(E1, grant.sequence(), 0, true, NOW_MS));
         }
 
         assertEquals(List.of(), grants(NOW_MS + 10));
         List<PeerMessage.Grant> probe = grants(NOW_MS + 1_001);
         assertEquals(1, probe.size());
-        arbiter.ended(E1, probe.get(0).sequence(), 100, false, NOW_MS + 1_100);
+        arbiter.attemptEnded(E1, probe.get(0).sequence(), 100, false, NOW_MS + 1_100);
         assertEquals(SLOTS, grants(NOW_MS + 1_101).size());
     }
 
@@ -170,7 +170,7 @@
         register(E1, offer(A, 1));
         PeerMessage.Grant grant = grants(NOW_MS).get(0);
         assertNull(arbiter.chargesToSend(NOW_MS));
-        arbiter.ended(E1, grant.sequence(), 5_000, false, NOW_MS);
+        arbiter.attemptEnded(E1, grant.sequence(), 5_000, false, NOW_MS);
 
         register(E1, offer(A, SLOTS + 2));
         assertNull(arbiter.chargesToSend(NOW_MS + 250));
--- a/kernel/src/test/java/org/marjoramswitch/kernel/entry/EntryTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/entry/EntryTest.java
@@ -240,7 +240,7 @@
 
         assertEquals(ErrorType.INSTANCE_LEAVING, onlyFailure().type());
         assertEquals(1, count(Action.Complete.class));
-        assertEquals(0, entry.open());
+        assertEquals(0, entry.openCount());
     }
 
     private static FleetView view(InstanceId... members) {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/EarlyRefusalTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/EarlyRefusalTest.java
@@ -68,8 +68,8 @@
         for (int i = 0; i < 30; i++) {
             send(LIGHT);
             nowMs += FIXED_MS + PROMPT_TOKENS / PREFILL_TOKENS_PER_MS;
-            arbiter.answering(ENTRY, lastId, nowMs);
-            arbiter.ended(ENTRY, new PeerMessage.PlacementEnded(CELL, lastId, 10, PlacementEnd.SERVED), nowMs);
+            arbiter.responseStarted(ENTRY, lastId, nowMs);
+            arbiter.attemptEnded(ENTRY, new PeerMessage.PlacementEnded(CELL, lastId, 10, PlacementEnd.SERVED), nowMs);
             nowMs += 1_000;
         }
         placed.clear();
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/FetchingTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/FetchingTest.java
@@ -51,7 +51,7 @@
     @Test
     void prefilledPartsAreFetched() {
         PeerMessage.Placed first = place();
-        answering();
+        responseStarted();
         PeerMessage.Placed second = place();
         assertNull(first.fetchFrom());
         assertNotEquals(first.target(), second.target());
@@ -68,7 +68,7 @@
     @Test
     void nothingIsFetchedFromARemovedEngine() {
         TargetId first = place().target();
-        answering();
+        responseStarted();
         arbiter.targets(settings(FETCHING, "dc-1", "dc-1", "dc-2"), Set.of(first));
         assertNull(place().fetchFrom());
     }
@@ -77,7 +77,7 @@
     @Test
     void nothingIsFetchedFromARestartedEngine() {
         TargetId first = place().target();
-        answering();
+        responseStarted();
         arbiter.targets(
                 settings(FETCHING, "dc-1", "dc-1", "dc-2").stream()
                         .map(engine -> engine.id().equals(first) ? engine.withStart(1) : engine)
@@ -91,7 +91,7 @@
     @Test
     void nothingIsFetchedFromAnEjectedEngine() {
         TargetId first = place().target();
-        answering();
+        responseStarted();
         for (int i = 0; i < 4; i++) {
             end(lastId, PlacementEnd.FAILED);
             PeerMessage.Placed next = place();
@@ -99,7 +99,7 @@
                 assertNull(next.fetchFrom());
                 return;
             }
-            answering();
+            responseStarted();
         }
         throw new AssertionError("the failing engine was never ejected");
     }
@@ -124,7 +124,7 @@
         arbiter = arbiter(PlacementPolicy.full());
         engines(EngineMemory.of(100_000), "dc-1", "dc-1");
         place();
-        answering();
+        responseStarted();
         assertNull(place().fetchFrom());
     }
 
@@ -134,7 +134,7 @@
         arbiter = arbiter(PlacementPolicy.full());
         engines(EngineMemory.fetching(100_000, 1), "dc-1", "dc-1");
         place();
-        answering();
+        responseStarted();
         assertNull(place().fetchFrom());
     }
 
@@ -143,7 +143,7 @@
         arbiter = arbiter(PlacementPolicy.without(List.of(Mechanism.FETCHING)));
         engines();
         place();
-        answering();
+        responseStarted();
         assertNull(place().fetchFrom());
     }
 
@@ -186,13 +186,13 @@
         return placed;
     }
 
-    private void answering() {
+    private void responseStarted() {
         nowMs += 60;
-        arbiter.answering(ENTRY, lastId, nowMs);
+        arbiter.responseStarted(ENTRY, lastId, nowMs);
     }
 
     private void end(long id, PlacementEnd end) {
-        arbiter.ended(ENTRY, new PeerMessage.PlacementEnded(CELL, id, 10, end), nowMs);
+        arbiter.attemptEnded(ENTRY, new PeerMessage.PlacementEnded(CELL, id, 10, end), nowMs);
     }
 
     private static PeerMessage.@Nullable Placed placedIn(List<Action> actions) {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/PlacementArbiterTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/PlacementArbiterTest.java
@@ -328,7 +328,7 @@
     }
 
     private void end(long id, PlacementEnd end) {
-        arbiter.ended(ENTRY, new PeerMessage.PlacementEnded(CELL, id, 10, end), nowMs);
+        arbiter.attemptEnded(ENTRY, new PeerMessage.PlacementEnded(CELL, id, 10, end), nowMs);
         decide();
     }
 
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/PlacementSimulation.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/PlacementSimulation.java
@@ -358,14 +358,14 @@
                                         <= request.kind().objectiveMs;
                                 count(request, inTime ? tally -> tally.inTime++ : tally -> tally.late++);
                                 servedValue += (inTime ? 1 : LATE_VALUE) * valueBySize(request);
-                                report(atMs, () -> arbiter.answering(ENTRY, placed.ask(), Math.round(nowMs)));
+                                report(atMs, () -> arbiter.responseStarted(ENTRY, placed.ask(), Math.round(nowMs)));
                             }
 
                             @Override
                             public void onEnd(double atMs) {
                                 report(
                                         atMs,
-                                        () -> arbiter.ended(
+                                        () -> arbiter.attemptEnded(
                                                 ENTRY,
                                                 new PeerMessage.PlacementEnded(
                                                         CELL,
