--- a/kernel/src/main/java/org/marjoramswitch/kernel/InstanceKernel.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/InstanceKernel.java
@@ -48,14 +48,14 @@
 
     private final Member self;
     private final KernelOptions options;
-    private final FleetState plan;
+    private final FleetState fleet;
     private final Entry entry;
     private final Map<CellId, Arbiter> arbiters = new TreeMap<>();
     private final Map<CellId, Long> assignedSinceMs = new TreeMap<>();
     private final Set<CellId> changedCells = new TreeSet<>();
     private final PlacementArbiters placements;
     private final Deque<PeerMessage> selfMessages = new ArrayDeque<>();
-    private final SilentPeerDetector entryWatch = SilentPeerDetector.create();
+    private final SilentPeerDetector silentEntryDetector = SilentPeerDetector.create();
     private boolean draining;
     private boolean drained;
     private long nextUnreachableProbeMs;
@@ -63,9 +63,9 @@
     private InstanceKernel(Member self, KernelOptions options) {
         this.self = self;
         this.options = options;
-        this.plan = FleetState.of(FleetView.of(List.of(self)));
-        this.entry = Entry.create(self.id(), options, plan);
-        this.placements = PlacementArbiters.of(plan, options.placement());
+        this.fleet = FleetState.of(FleetView.of(List.of(self)));
+        this.entry = Entry.create(self.id(), options, fleet);
+        this.placements = PlacementArbiters.of(fleet, options.placement());
     }
 
     public static InstanceKernel create(Member self) {
@@ -82,11 +82,11 @@
     }
 
     public FleetSettings settings() {
-        return plan.settings();
+        return fleet.settings();
     }
 
     public FleetView view() {
-        return plan.view();
+        return fleet.view();
     }
 
     /** Returns the number of requests of this instance's callers that have not ended. */
@@ -107,18 +107,18 @@
     /** Returns the targets whose load reports this instance needs. */
     public List<TargetSettings> arbitratedTargets() {
         return arbiters.keySet().stream()
-                .flatMap(cell -> plan.cells().targets(cell).stream())
+                .flatMap(cell -> fleet.cells().targets(cell).stream())
                 .toList();
     }
 
     /** Returns the arbiter that this instance uses for a cell, null if there is none. */
     public @Nullable InstanceId arbiterOf(CellId cell) {
-        return plan.arbiter(cell);
+        return fleet.arbiter(cell);
     }
 
     /** Returns the cells of all pools under the current settings. */
     public List<CellId> cells() {
-        return plan.cells().cells();
+        return fleet.cells().cells();
     }
 
     /** Returns the maximum time until the next event, in milliseconds. */
@@ -213,7 +213,7 @@
 
     private void received(InstanceId from, long incarnation, PeerMessage message, long nowMs, ActionSink sink) {
         if (!from.equals(self.id())) {
-            noteContact(from, message, nowMs, sink);
+            peerMessageReceived(from, message, nowMs, sink);
         }
         if (message instanceof PeerMessage.Probe probe) {
             sink.accept(new Action.SendPeer(from, new PeerMessage.ProbeReply(probe.number())));
@@ -241,7 +241,7 @@
             withArbiter(unregister.cell(), arbiter -> arbiter.unregister(from));
             entry.registrations().registrationLost(from, unregister.cell(), nowMs, sink);
         } else if (message instanceof PeerMessage.Demand demand) {
-            demanded(from, demand, sink);
+            demandReceived(from, demand, sink);
         } else if (message instanceof PeerMessage.Decline decline) {
             withArbiter(decline.cell(), arbiter -> arbiter.declined(from, decline.sequence(), decline.reason()));
         } else if (message instanceof PeerMessage.Progress progress) {
@@ -260,10 +260,10 @@
 
     private void peerReportedLeaving(PeerMessage.TargetLeaving leaving, ActionSink sink) {
         if (leaving.startedAtMs() != PeerMessage.TargetLeaving.LISTED) {
-            noteSaidLeaving(leaving.target(), leaving.startedAtMs(), sink);
+            markDraining(leaving.target(), leaving.startedAtMs(), sink);
             return;
         }
-        Set<TargetId> all = new TreeSet<>(plan.listedLeaving());
+        Set<TargetId> all = new TreeSet<>(fleet.listedLeaving());
         all.add(leaving.target());
         targetsLeaving(all, sink);
     }
@@ -285,9 +285,9 @@
         return cell != null;
     }
 
-    private void noteContact(InstanceId from, PeerMessage message, long nowMs, ActionSink sink) {
+    private void peerMessageReceived(InstanceId from, PeerMessage message, long nowMs, ActionSink sink) {
         entry.messageReceived(from, nowMs, sink);
-        entryWatch.messageReceived(from, nowMs);
+        silentEntryDetector.messageReceived(from, nowMs);
         for (Arbiter arbiter : arbiters.values()) {
             arbiter.messageReceived(from);
             boolean reconnected = arbiter.isRegistered(from)
@@ -308,14 +308,14 @@
         Set<InstanceId> awaited = new TreeSet<>();
         arbiters.values().forEach(arbiter -> awaited.addAll(arbiter.entriesToProbe()));
         awaited.remove(self.id());
-        for (InstanceId silent : entryWatch.silentPeers(
+        for (InstanceId silent : silentEntryDetector.silentPeers(
                 awaited, nowMs, peer -> entry.registrations().probe(peer, sink))) {
             arbiters.values().forEach(arbiter -> arbiter.disconnected(silent));
             changedCells.addAll(arbiters.keySet());
         }
     }
 
-    private void demanded(InstanceId from, PeerMessage.Demand demand, ActionSink sink) {
+    private void demandReceived(InstanceId from, PeerMessage.Demand demand, ActionSink sink) {
         Arbiter arbiter = arbiters.get(demand.cell());
         if (arbiter == null || !arbiter.isConnected(from)) {
             // The entry was disconnected here, or this instance restarted. Unless the entry registers again, it would
@@ -354,52 +354,52 @@
         if (known != null) {
             return known;
         }
-        PoolSettings pool = plan.settings().pools().getOrDefault(cell.pool(), PoolSettings.modelEngines(cell.pool()));
+        PoolSettings pool = fleet.settings().pools().getOrDefault(cell.pool(), PoolSettings.modelEngines(cell.pool()));
         long sinceMs = assignedSinceMs.getOrDefault(cell, nowMs);
         long openAtMs = sinceMs + options.registrationWindowMs();
-        Arbiter arbiter = Arbiter.create(cell, pool, plan::weight, options, openAtMs);
-        arbiter.targets(plan.cells().targets(cell), plan.leavingTargets());
+        Arbiter arbiter = Arbiter.create(cell, pool, fleet::weight, options, openAtMs);
+        arbiter.targets(fleet.cells().targets(cell), fleet.leavingTargets());
         arbiters.put(cell, arbiter);
         return arbiter;
     }
 
     private void linkChanged(Event.PeerLinkChanged changed, long nowMs, ActionSink sink) {
-        plan.reachable(changed.peer(), changed.up());
+        fleet.reachable(changed.peer(), changed.up());
         if (changed.up()) {
             entry.connected(changed.peer(), nowMs, sink);
         } else {
             arbiters.values().forEach(arbiter -> arbiter.disconnected(changed.peer()));
         }
         // The peer sends its complete state on a new link, so state from an older link must be removed first.
-        forgetPlacements(changed.peer(), nowMs);
+        removePlacements(changed.peer(), nowMs);
         entry.fleetChanged(nowMs, sink);
     }
 
     private void viewChanged(FleetView view, long nowMs, ActionSink sink) {
-        FleetView previous = plan.view();
-        plan.view(view);
+        FleetView previous = fleet.view();
+        fleet.view(view);
         for (Member member : previous.members().values()) {
             Member now = view.member(member.id());
             boolean gone = now == null || now.incarnation() != member.incarnation();
             if (gone && !member.id().equals(self.id())) {
-                arbiters.values().forEach(arbiter -> dropEntry(arbiter, member.id(), sink));
-                forgetPlacements(member.id(), nowMs);
+                arbiters.values().forEach(arbiter -> removeEntry(arbiter, member.id(), sink));
+                removePlacements(member.id(), nowMs);
             }
         }
         updateAssignments(nowMs);
         entry.fleetChanged(nowMs, sink);
     }
 
-    private void forgetPlacements(InstanceId gone, long nowMs) {
-        placements.forget(gone, nowMs);
+    private void removePlacements(InstanceId gone, long nowMs) {
+        placements.removeEntry(gone, nowMs);
         changedCells.addAll(placements.cells());
     }
 
     /**
-     * Removes an entry that left the view, and notifies it: if it is still alive, it would not learn otherwise that its
+     * Removes an entry that left the view, and notifies it: if it is still alive, it must register again, since its
      * offers were removed.
      */
-    private void dropEntry(Arbiter arbiter, InstanceId gone, ActionSink sink) {
+    private void removeEntry(Arbiter arbiter, InstanceId gone, ActionSink sink) {
         if (arbiter.isRegistered(gone)) {
             arbiter.unregister(gone);
             sink.accept(new Action.SendPeer(gone, new PeerMessage.Unregister(arbiter.cell())));
@@ -408,7 +408,7 @@
     }
 
     private void settingsAccepted(FleetSettings settings, long nowMs, ActionSink sink) {
-        plan.settings(settings);
+        fleet.settings(settings);
         updateAssignments(nowMs);
         refreshTargets();
         entry.fleetChanged(nowMs, sink);
@@ -416,8 +416,8 @@
 
     private void targetsLeaving(Set<TargetId> leaving, ActionSink sink) {
         Set<TargetId> newlyLeaving = new TreeSet<>(leaving);
-        newlyLeaving.removeAll(plan.leavingTargets());
-        plan.leavingTargets(leaving);
+        newlyLeaving.removeAll(fleet.leavingTargets());
+        fleet.leavingTargets(leaving);
         refreshTargets();
         newlyLeaving.forEach(target -> forwardLeaving(target, PeerMessage.TargetLeaving.LISTED, sink));
     }
@@ -428,13 +428,13 @@
      * exits.
      */
     private void targetSaidLeaving(Event.TargetSaidLeaving said, ActionSink sink) {
-        if (noteSaidLeaving(said.target(), said.startedAtMs(), sink)) {
+        if (markDraining(said.target(), said.startedAtMs(), sink)) {
             forwardLeaving(said.target(), said.startedAtMs(), sink);
         }
     }
 
-    private boolean noteSaidLeaving(TargetId target, long startedAtMs, ActionSink sink) {
-        if (!plan.markDraining(target, startedAtMs)) {
+    private boolean markDraining(TargetId target, long startedAtMs, ActionSink sink) {
+        if (!fleet.markDraining(target, startedAtMs)) {
             return false;
         }
         sink.accept(new Action.Decided(Decision.of("target_said_leaving", "target", target)));
@@ -444,8 +444,8 @@
 
     /** Notifies the cell's arbiter, since updates reach instances at different times. */
     private void forwardLeaving(TargetId target, long startedAtMs, ActionSink sink) {
-        CellId cell = plan.cells().cellOf(target);
-        InstanceId arbiter = cell == null ? null : plan.arbiter(cell);
+        CellId cell = fleet.cells().cellOf(target);
+        InstanceId arbiter = cell == null ? null : fleet.arbiter(cell);
         if (cell != null && arbiter != null && !arbiter.equals(self.id())) {
             sink.accept(new Action.SendPeer(arbiter, new PeerMessage.TargetLeaving(cell.pool(), target, startedAtMs)));
         }
@@ -453,7 +453,7 @@
 
     private void refreshTargets() {
         for (Arbiter arbiter : arbiters.values()) {
-            arbiter.targets(plan.cells().targets(arbiter.cell()), plan.leavingTargets());
+            arbiter.targets(fleet.cells().targets(arbiter.cell()), fleet.leavingTargets());
             changedCells.add(arbiter.cell());
         }
         placements.refreshTargets();
@@ -461,7 +461,7 @@
     }
 
     private void targetReported(Event.TargetReported reported, long nowMs) {
-        CellId cell = plan.cells().cellOf(reported.target());
+        CellId cell = fleet.cells().cellOf(reported.target());
         if (cell != null) {
             withArbiter(cell, arbiter -> arbiter.reported(reported.target(), reported.report(), nowMs));
         }
@@ -469,8 +469,8 @@
 
     private void updateAssignments(long nowMs) {
         Set<CellId> mine = new TreeSet<>();
-        for (CellId cell : plan.cells().cells()) {
-            if (self.id().equals(plan.assignedArbiter(cell))) {
+        for (CellId cell : fleet.cells().cells()) {
+            if (self.id().equals(fleet.assignedArbiter(cell))) {
                 mine.add(cell);
                 assignedSinceMs.putIfAbsent(cell, nowMs);
             }
@@ -492,14 +492,14 @@
     }
 
     private void sendCharges(Arbiter arbiter, long nowMs, ActionSink sink) {
-        List<CellId> cells = plan.cells().cells(arbiter.cell().pool());
+        List<CellId> cells = fleet.cells().cells(arbiter.cell().pool());
         PeerMessage.Charges charges = cells.size() < 2 ? null : arbiter.chargesToSend(nowMs);
         if (charges == null) {
             return;
         }
         Set<InstanceId> others = new TreeSet<>();
         for (CellId cell : cells) {
-            InstanceId other = plan.arbiter(cell);
+            InstanceId other = fleet.arbiter(cell);
             if (other != null && !cell.equals(arbiter.cell())) {
                 others.add(other);
             }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/KernelOptions.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/KernelOptions.java
@@ -17,7 +17,7 @@
  *     trip
  * @param idleRegistrationMs how long an entry stays registered with a cell without having requests for it
  * @param maxWaiting maximum waiting requests per instance
- * @param resendLimits retry limits of the whole fleet
+ * @param resendLimits limits of the retries of placed requests, for the whole fleet
  * @param placement policy for the placement of requests
  */
 public record KernelOptions(
--- a/kernel/src/main/java/org/marjoramswitch/kernel/PlacementArbiters.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/PlacementArbiters.java
@@ -15,17 +15,17 @@
 
 /** Holds the placement arbiters of the cells for which entries have sent placement requests to this instance. */
 final class PlacementArbiters {
-    private final FleetState plan;
+    private final FleetState fleet;
     private final PlacementPolicy policy;
     private final Map<CellId, PlacementArbiter> byCell = new TreeMap<>();
 
-    private PlacementArbiters(FleetState plan, PlacementPolicy policy) {
-        this.plan = plan;
+    private PlacementArbiters(FleetState fleet, PlacementPolicy policy) {
+        this.fleet = fleet;
         this.policy = policy;
     }
 
-    static PlacementArbiters of(FleetState plan, PlacementPolicy policy) {
-        return new PlacementArbiters(plan, policy);
+    static PlacementArbiters of(FleetState fleet, PlacementPolicy policy) {
+        return new PlacementArbiters(fleet, policy);
     }
 
     Collection<CellId> cells() {
@@ -71,15 +71,15 @@
     }
 
     /** Removes the state of an entry that is gone or that sends its complete state on a new link. */
-    void forget(InstanceId entry, long nowMs) {
+    void removeEntry(InstanceId entry, long nowMs) {
         byCell.values().forEach(arbiter -> arbiter.removeEntry(entry, nowMs));
     }
 
     /** Updates all arbiters after targets were added, removed or moved to other cells. */
     void refreshTargets() {
-        byCell.keySet().removeIf(cell -> plan.cells().targets(cell).isEmpty());
+        byCell.keySet().removeIf(cell -> fleet.cells().targets(cell).isEmpty());
         byCell.values()
-                .forEach(arbiter -> arbiter.targets(plan.cells().targets(arbiter.cell()), plan.leavingTargets()));
+                .forEach(arbiter -> arbiter.targets(fleet.cells().targets(arbiter.cell()), fleet.leavingTargets()));
     }
 
     private PlacementArbiter arbiter(CellId cell) {
@@ -87,9 +87,9 @@
         if (known != null) {
             return known;
         }
-        PoolSettings pool = plan.settings().pools().getOrDefault(cell.pool(), PoolSettings.modelEngines(cell.pool()));
-        PlacementArbiter created = PlacementArbiter.create(cell, pool, plan::weight, policy);
-        created.targets(plan.cells().targets(cell), plan.leavingTargets());
+        PoolSettings pool = fleet.settings().pools().getOrDefault(cell.pool(), PoolSettings.modelEngines(cell.pool()));
+        PlacementArbiter created = PlacementArbiter.create(cell, pool, fleet::weight, policy);
+        created.targets(fleet.cells().targets(cell), fleet.leavingTargets());
         byCell.put(cell, created);
         return created;
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/AttemptRules.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/AttemptRules.java
@@ -7,7 +7,7 @@
 
 /** Maps the outcome of an attempt to a retry decision, an error for the caller and a placement end for the arbiter. */
 final class AttemptRules {
-    /** Maximum attempts per request, regardless of the retry budget. */
+    /** Maximum attempts per request, independent of the retry budgets. */
     private static final int MAX_ATTEMPTS = 4;
 
     private static final long RETRY_AFTER_MS = 1_000;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/CellLink.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/CellLink.java
@@ -131,6 +131,7 @@
         return registered && !offered.isEmpty();
     }
 
+    /** The customer's lead over the floor of the arbiter's counters, as of its last grant; 0 if there was none. */
     long aheadTokens(CustomerId customer) {
         return aheadTokens.getOrDefault(customer, 0L);
     }
@@ -139,6 +140,7 @@
         aheadTokens.put(customer, tokens);
     }
 
+    /** The leads of all customers that have received a grant, in tokens. A new arbiter restores its counters from them. */
     Map<CustomerId, Long> standings() {
         return aheadTokens;
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
@@ -44,7 +44,7 @@
  * second was rejected ends as unknown.
  *
  * <p>While a cell's arbiter is unreachable, or is new and still collects registrations, a request that ends passes its
- * slot to the next request waiting here, in the order of the standings last received. Capacity is thus not idle during
+ * slot to the next request waiting here, in the order of the customers' leads last received. Capacity is thus not idle during
  * a change of arbiter; the entry registers again afterwards and the arbiter accounts for the slot.
  *
  * <p>A request under which several targets have crashed is not retried, whichever instance observed the crashes ({@link
@@ -70,7 +70,7 @@
                     .thenComparingLong(request -> request.spec().requestId()));
     private final Registrations registrations;
     private final Placements placements;
-    private final SilentPeerDetector placementArbiterDetector = SilentPeerDetector.create();
+    private final SilentPeerDetector silentArbiterDetector = SilentPeerDetector.create();
     private final PoisonRequestGossip poisonGossip = PoisonRequestGossip.create();
     private final TargetBackoffs targetBackoffs = new TargetBackoffs();
     private int totalWaiting;
@@ -100,15 +100,17 @@
         return requests.size();
     }
 
+    /** The number of requests that wait for a grant or a placement. */
     public int waitingCount() {
         return totalWaiting;
     }
 
-    /** Rejects new requests from now on; accepted ones continue to their ends. */
+    /** Rejects new requests from now on; accepted ones run to completion. */
     public void drain() {
         draining = true;
     }
 
+    /** Queues a new request of a caller, or fails it immediately if it cannot be accepted. */
     public void arrived(RequestSpec spec, long nowMs, ActionSink sink) {
         PoolSettings settings = fleet.settings().pools().get(spec.pool());
         Failure refusal = settings == null
@@ -123,11 +125,12 @@
         requests.put(spec.requestId(), request);
         deadlines.add(request);
         if (spec.placement() != null) {
-            pool(spec.pool()).resends().requested(options.resendLimits(), nowMs);
+            pool(spec.pool()).windowedRetryBudget().requested(options.resendLimits(), nowMs);
         }
         enqueue(request, nowMs, sink);
     }
 
+    /** Cancels a request whose caller has disconnected. */
     public void callerGone(long requestId, ActionSink sink) {
         EntryRequest request = requests.get(requestId);
         if (request == null) {
@@ -203,7 +206,7 @@
     /** Adapts registrations and placement requests to changed arbiters, cells or links. */
     public void fleetChanged(long nowMs, ActionSink sink) {
         registrations.fleetChanged(nowMs, sink);
-        placements.followFleet(nowMs, sink);
+        placements.fleetChanged(nowMs, sink);
     }
 
     /** Sends the state of this entry over a new link to a peer. */
@@ -227,10 +230,14 @@
 
     /** Records that a message arrived from a peer. */
     public void messageReceived(InstanceId peer, long nowMs, ActionSink sink) {
-        placementArbiterDetector.messageReceived(peer, nowMs);
+        silentArbiterDetector.messageReceived(peer, nowMs);
         registrations.messageReceived(peer, nowMs, sink);
     }
 
+    /**
+     * Updates the cost of the running attempt, which has delivered {@code outputTokens} so far. The arbiter is notified
+     * only when the cost has grown by {@code progressStepTokens}.
+     */
     public void delivered(long requestId, long outputTokens, ActionSink sink) {
         EntryRequest request = requests.get(requestId);
         PoolSettings pool = request == null ? null : poolSettings(request);
@@ -246,6 +253,7 @@
         demand.send(link, new PeerMessage.Progress(link.cell(), request.sequence(), request.costTokens()), sink);
     }
 
+    /** Reports the cost of an ended attempt to its arbiter, and completes, retries or fails the request. */
     public void attemptEnded(long requestId, TargetOutcome outcome, Usage usage, long nowMs, ActionSink sink) {
         EntryRequest request = requests.get(requestId);
         TargetId target = request == null ? null : request.target();
@@ -260,7 +268,7 @@
             request.markMayHaveRun();
         }
         recordCrash(request.spec().digest(), target, outcome, nowMs, sink);
-        conclude(request, outcome, pool, nowMs, sink);
+        finishOrRetry(request, outcome, pool, nowMs, sink);
         if (link != null && !outcome.targetFault()) {
             reuseSlot(link, pool, target, nowMs, sink);
         }
@@ -286,6 +294,7 @@
         start(request, grant.target(), grant.cell(), grant.sequence(), "grant", nowMs, sink);
     }
 
+    /** Records that a target has cached a prompt prefix, or that it has evicted it if not {@code present}. */
     public void prefixCached(TargetId target, long prefixHash, boolean present) {
         CellId cell = fleet.cells().cellOf(target);
         if (cell == null) {
@@ -306,10 +315,10 @@
         lastTickMs = nowMs;
         expire(nowMs, sink);
         registrations.tick(nowMs, sink);
-        watchPlacementArbiters(nowMs, sink);
+        replaceSilentPlacementArbiters(nowMs, sink);
         refuseOverdue(nowMs, sink);
         publishCrashes(sink);
-        placements.followFleet(nowMs, sink);
+        placements.fleetChanged(nowMs, sink);
         if (targetBackoffs.expire(nowMs)) {
             placements.backoffEnded(nowMs, sink);
         }
@@ -320,11 +329,11 @@
      * Switches from silent arbiters to the next ones in rank: requests would wait for a paused or disconnected arbiter
      * while targets are idle.
      */
-    private void watchPlacementArbiters(long nowMs, ActionSink sink) {
+    private void replaceSilentPlacementArbiters(long nowMs, ActionSink sink) {
         Set<InstanceId> awaited = placements.awaitedArbiters();
         awaited.removeAll(fleet.unreachable());
         for (InstanceId silent :
-                placementArbiterDetector.silentPeers(awaited, nowMs, peer -> registrations.probe(peer, sink))) {
+                silentArbiterDetector.silentPeers(awaited, nowMs, peer -> registrations.probe(peer, sink))) {
             fleet.reachable(silent, false);
             placements.arbiterSilent(silent, nowMs, sink);
         }
@@ -558,10 +567,11 @@
         return outcome == TargetOutcome.COMPLETED ? 0 : request.costTokens();
     }
 
-    private void conclude(EntryRequest request, TargetOutcome outcome, PoolQueues pool, long nowMs, ActionSink sink) {
+    private void finishOrRetry(
+            EntryRequest request, TargetOutcome outcome, PoolQueues pool, long nowMs, ActionSink sink) {
         if (outcome == TargetOutcome.COMPLETED) {
             PoolSettings settings = poolSettings(request);
-            pool.retries().succeeded(settings == null ? 0 : settings.retryShare());
+            pool.retryBudget().succeeded(settings == null ? 0 : settings.retryShare());
             complete(request, sink);
             return;
         }
@@ -607,10 +617,10 @@
 
     private boolean takeRetry(EntryRequest request, PoolQueues pool, long nowMs) {
         if (request.spec().placement() == null) {
-            return pool.retries().take();
+            return pool.retryBudget().take();
         }
         int instances = fleet.view().members().size();
-        return pool.resends().take(options.resendLimits(), instances, nowMs);
+        return pool.windowedRetryBudget().take(options.resendLimits(), instances, nowMs);
     }
 
     private void fail(EntryRequest request, ErrorType type, long retryAfterMs, String detail, ActionSink sink) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/EntryRequest.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/EntryRequest.java
@@ -136,7 +136,7 @@
         failedAt.add(unused);
     }
 
-    /** The running attempt's target has moved to another cell, which learns of the attempt through a registration. */
+    /** Assigns the running attempt to its target's new cell, whose arbiter receives it with the next registration. */
     void movedTo(@Nullable CellId newCell) {
         cell = newCell;
         useRegistrationSequence();
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/FleetState.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/FleetState.java
@@ -31,7 +31,7 @@
     private Set<TargetId> listedLeaving = Set.of();
     /**
      * Start times of targets that reported themselves as draining. A target does not revoke this, so the entry stays
-     * valid regardless of the content and order of lists.
+     * valid regardless of the content and order of target lists.
      */
     private final Map<TargetId, Long> selfReportedLeaving = new LinkedHashMap<>();
 
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Draining targets: those named by the list, and those that reported it themselves and have not restarted since.
+     * Draining targets: those in the target list, and those that reported it themselves and have not restarted since.
      */
     public Set<TargetId> leavingTargets() {
         return leavingTargets;
@@ -82,7 +82,7 @@
         assignment = ArbiterAssignment.of(cells.cells(), newView);
     }
 
-    /** Draining targets named by the list only. */
+    /** The targets that the target list marks as draining. */
     public Set<TargetId> listedLeaving() {
         return listedLeaving;
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Placements.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Placements.java
@@ -208,7 +208,7 @@
     }
 
     /** Re-sends open placement requests whose cell or arbiter has changed. */
-    void followFleet(long nowMs, ActionSink sink) {
+    void fleetChanged(long nowMs, ActionSink sink) {
         notifiedArbiters.entrySet().removeIf(known -> !known.getValue().equals(arbiter(known.getKey(), nowMs)));
         for (PlacementRequest placement : List.copyOf(byId.values())) {
             CellId cell = fleet.cells().targets(placement.cell).isEmpty() ? cell(placement.request) : placement.cell;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/PoolQueues.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/PoolQueues.java
@@ -17,8 +17,8 @@
     private final PoolId pool;
     private final Map<CustomerId, CustomerQueue> waiting = new TreeMap<>();
     private final Map<CustomerId, DrainRate> drainRates = new TreeMap<>();
-    private final RetryBudget retries = RetryBudget.create();
-    private final WindowedRetryBudget resends = WindowedRetryBudget.create();
+    private final RetryBudget retryBudget = RetryBudget.create();
+    private final WindowedRetryBudget windowedRetryBudget = WindowedRetryBudget.create();
     private final PrefixDirectory prefixes = new PrefixDirectory();
     private final Map<CustomerId, CellId> homes = new TreeMap<>();
     private final String instance;
@@ -35,13 +35,14 @@
         return pool;
     }
 
-    RetryBudget retries() {
-        return retries;
+    /** The retry budget of granted requests: a share of this entry's successes. */
+    RetryBudget retryBudget() {
+        return retryBudget;
     }
 
-    /** The retry budget of placed requests. */
-    WindowedRetryBudget resends() {
-        return resends;
+    /** The retry budget of placed requests: a share of the requests in a time window, across the whole fleet. */
+    WindowedRetryBudget windowedRetryBudget() {
+        return windowedRetryBudget;
     }
 
     PrefixDirectory prefixes() {
@@ -89,7 +90,7 @@
     }
 
     /**
-     * The cell that a customer's requests are offered to first: the one that granted the last of them, initially the
+     * The home cell, to which a customer's requests are offered first: the one that granted the last of them, initially the
      * one with the highest rendezvous weight. An entry thus has links to few arbiters, a customer's prompts use few
      * caches, and a customer whose cell is full moves to a cell that had a slot for it.
      */
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Registrations.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Registrations.java
@@ -40,7 +40,7 @@
     private final DemandPublisher demand;
     private final Function<PoolId, PoolQueues> pools;
     private final Collection<EntryRequest> requests;
-    private final SilentPeerDetector silenceDetector = SilentPeerDetector.create();
+    private final SilentPeerDetector silentArbiterDetector = SilentPeerDetector.create();
     private long lastProbe;
 
     /** @param requests the entry's open requests, a live view */
@@ -62,16 +62,16 @@
     /** Adapts the registrations to changed arbiters, cells or links. */
     public void fleetChanged(long nowMs, ActionSink sink) {
         for (EntryRequest request : requests) {
-            followTarget(request, nowMs);
+            updateCell(request, nowMs);
         }
         for (CellLink link : List.copyOf(demand.links())) {
-            followArbiter(link, nowMs, sink);
+            updateArbiter(link, nowMs, sink);
         }
     }
 
     /** Marks a peer as reachable, since a message arrived from it. */
     public void messageReceived(InstanceId peer, long nowMs, ActionSink sink) {
-        silenceDetector.messageReceived(peer, nowMs);
+        silentArbiterDetector.messageReceived(peer, nowMs);
         if (fleet.unreachable().contains(peer)) {
             fleet.reachable(peer, true);
             fleetChanged(nowMs, sink);
@@ -150,7 +150,7 @@
             }
         }
         awaited.removeAll(fleet.unreachable());
-        List<InstanceId> silent = silenceDetector.silentPeers(awaited, nowMs, arbiter -> probe(arbiter, sink));
+        List<InstanceId> silent = silentArbiterDetector.silentPeers(awaited, nowMs, arbiter -> probe(arbiter, sink));
         if (silent.isEmpty()) {
             return;
         }
@@ -158,7 +158,7 @@
         fleetChanged(nowMs, sink);
     }
 
-    private void followTarget(EntryRequest request, long nowMs) {
+    private void updateCell(EntryRequest request, long nowMs) {
         TargetId target = request.target();
         if (target == null) {
             return;
@@ -171,7 +171,7 @@
         demand.link(cell, nowMs).markHoldingsChanged();
     }
 
-    private void followArbiter(CellLink link, long nowMs, ActionSink sink) {
+    private void updateArbiter(CellLink link, long nowMs, ActionSink sink) {
         InstanceId arbiter = fleet.arbiter(link.cell());
         InstanceId former = link.arbiter();
         if (Objects.equals(arbiter, former)) {
