--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/LateRequestHold.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/LateRequestHold.java
@@ -15,18 +15,18 @@
 
     private LateRequestHold() {}
 
-    static long holdMs(long endAtMs, long nowMs) {
-        return Math.min(MAX_HOLD_MS, (endAtMs - nowMs) / HOLD_DIVISOR);
+    static long holdMs(long deadlineMs, long nowMs) {
+        return Math.min(MAX_HOLD_MS, (deadlineMs - nowMs) / HOLD_DIVISOR);
     }
 
     /**
      * The time by which an arbiter without backlog has responded to a placement request.
      *
      * @param objectiveAtMs when the request's first byte is late
-     * @param endAtMs when its caller times out
+     * @param deadlineMs when its caller times out
      */
-    public static long responseDueAtMs(long objectiveAtMs, long endAtMs, long nowMs) {
+    public static long responseDueAtMs(long objectiveAtMs, long deadlineMs, long nowMs) {
         long lateAtMs = Math.max(objectiveAtMs, nowMs);
-        return Math.min(endAtMs, lateAtMs + Math.max(0, holdMs(endAtMs, lateAtMs)) + RESPONSE_MARGIN_MS);
+        return Math.min(deadlineMs, lateAtMs + Math.max(0, holdMs(deadlineMs, lateAtMs)) + RESPONSE_MARGIN_MS);
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/Mechanism.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/Mechanism.java
@@ -9,9 +9,9 @@
     FETCHING,
     /** A session that no engine has cached goes to the engine selected by rendezvous hashing. */
     SESSION_HOME,
-    /** Prefill is weighted higher than its own time. */
+    /** In the cost of a target, prefill time counts several times as much as waiting time. */
     READING_WEIGHT,
-    /** In a full pool, a request is not sent to a target where it costs the other requests much. */
+    /** In a full pool, a request is not sent to a target that would spend much more time on it than the best one. */
     DEAR_TARGETS,
     /** Customers with low demand catch up to an even share of the last seconds. */
     EVEN_SHARE,
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
@@ -27,13 +27,13 @@
  * Decides which request of a cell goes to which target, and when.
  *
  * <p>Engines admit requests in order of arrival, so requests are queued here, where they can be ordered, and an engine
- * gets only as many as keep it busy. A pass visits the customers with waiting requests in order of their virtual
+ * is sent only as many as keep it busy. A pass visits the customers with waiting requests in order of their virtual
  * counters ({@link FairShares}), the lowest first, and starts each one's most urgent request for which
  * {@link TargetChoice} finds a target. Customers with high demand therefore wait behind those with low demand, and no
  * target is kept idle.
  *
- * <p>A request that finds no target is not tried again in the same pass. Between passes only new requests are tried, at
- * targets that the last pass left free. The queue is thus scanned a bounded number of times per second, whatever the
+ * <p>A request that finds no target is not examined again in the same pass. Between passes only new requests are examined,
+ * for targets that the last pass left free. The queue is thus scanned a bounded number of times per second, whatever the
  * number of requests and events.
  *
  * <p>A request is late once its first byte can no longer meet its objective. Late requests use only capacity that the
@@ -51,8 +51,8 @@
     private static final int LOOKAHEAD = 8;
     /** Late requests held per slot: at most about one second of the cell's throughput. */
     private static final double MAX_LATE_PER_SLOT = 0.25;
-    /** Three in four first bytes arrive within this multiple of the prediction. */
-    private static final double PREDICTION_MARGIN = 1.3;
+    /** 75th percentile of the time to first byte, relative to its prediction. */
+    private static final double FIRST_BYTE_P75_FACTOR = 1.3;
     /** Shorter than {@link TargetChoice#MIN_PREFILL_QUEUE_MS}, so that no engine runs idle between passes. */
     private static final long PASS_MS = 4;
     /** Up to this many waiting requests, every event triggers a pass, so that a freed target is used immediately. */
@@ -143,7 +143,7 @@
         }
     }
 
-    /** Records that a request has ended at its target. */
+    /** Releases the slot of an ended attempt, and corrects its customer's charge and its target's health. */
     public void attemptEnded(InstanceId entry, PeerMessage.PlacementEnded ended, long nowMs) {
         RunningRequest request = runningOf(entry).remove(ended.ask());
         if (request == null) {
@@ -195,8 +195,8 @@
 
     private void place(long nowMs, ActionSink sink) {
         TargetChoice choice = lastPass;
-        boolean few = waiting.inTimeCount() + waiting.lateCount() <= MAX_WAITING_FOR_FULL_PASS;
-        if (choice == null || few || nowMs - choice.atMs() >= PASS_MS) {
+        boolean isQueueShort = waiting.inTimeCount() + waiting.lateCount() <= MAX_WAITING_FOR_FULL_PASS;
+        if (choice == null || isQueueShort || nowMs - choice.atMs() >= PASS_MS) {
             choice = TargetChoice.at(policy, model, meanServiceMs, targets, nowMs);
             lastPass = choice;
             placeInTime(choice, nowMs, sink);
@@ -210,11 +210,11 @@
     private void add(WaitingRequest newRequest, long nowMs) {
         long prefillTokens = targets.partIndex().minUncachedTokens(newRequest.prompt());
         double firstByteMs =
-                PREDICTION_MARGIN * (TargetChoice.MIN_PREFILL_QUEUE_MS / 2 + model.expectedMs(prefillTokens));
+                FIRST_BYTE_P75_FACTOR * (TargetChoice.MIN_PREFILL_QUEUE_MS / 2 + model.expectedMs(prefillTokens));
         SizeClass size = SizeClass.of(newRequest.objectiveAtMs() - nowMs, firstByteMs);
-        WaitingRequest request = newRequest.assessed(size, prefillTokens);
+        WaitingRequest request = newRequest.withSize(size, prefillTokens);
         long lateAtMs = request.objectiveAtMs() - Math.round(firstByteMs);
-        if (size == SizeClass.LARGE && policy.has(Mechanism.SIZE_BALANCE) && sizes.favoursLarge()) {
+        if (size == SizeClass.LARGE && policy.has(Mechanism.SIZE_BALANCE) && sizes.isLargeUnderserved()) {
             long queueWaitMs = SizeClass.expectedQueueWaitMs(request.objectiveAtMs() - nowMs);
             lateAtMs = Math.max(lateAtMs, nowMs + queueWaitMs);
         }
@@ -242,12 +242,12 @@
     }
 
     private void addLate(WaitingRequest request, long nowMs) {
-        long holdMs = LateRequestHold.holdMs(request.endAtMs(), nowMs);
-        boolean worthHolding = policy.has(Mechanism.LATE_HOLDING)
+        long holdMs = LateRequestHold.holdMs(request.deadlineMs(), nowMs);
+        boolean mayHold = policy.has(Mechanism.LATE_HOLDING)
                 && waiting.inTimeCount() == 0
                 && waiting.lateCount() < maxLate()
                 && hasSpareCapacity();
-        waiting.addLate(request, worthHolding ? nowMs + holdMs : nowMs);
+        waiting.addLate(request, mayHold ? nowMs + holdMs : nowMs);
     }
 
     /** Whether any target has capacity for late requests; otherwise holding one only delays its rejection. */
@@ -290,10 +290,10 @@
 
     private void placeInTime(TargetChoice choice, long nowMs, ActionSink sink) {
         Set<CustomerId> exhausted = new HashSet<>();
-        Set<Long> tried = new HashSet<>();
+        Set<Long> examinedArrivals = new HashSet<>();
         CustomerAccount next = lowestExcept(exhausted);
         while (next != null && choice.hasOpen()) {
-            if (!placeNextOf(next.customer(), choice, tried, nowMs, sink)) {
+            if (!placeNextOf(next.customer(), choice, examinedArrivals, nowMs, sink)) {
                 exhausted.add(next.customer());
             }
             next = lowestExcept(exhausted);
@@ -312,13 +312,13 @@
     /**
      * Starts the customer's most urgent request that has a target.
      *
-     * @param tried arrival numbers of the requests that found no target in this pass
+     * @param examinedArrivals arrival numbers of the requests already examined in this pass, which are skipped
      */
     private boolean placeNextOf(
-            CustomerId customer, TargetChoice choice, Set<Long> tried, long nowMs, ActionSink sink) {
+            CustomerId customer, TargetChoice choice, Set<Long> examinedArrivals, long nowMs, ActionSink sink) {
         int examined = 0;
         for (WaitingRequest request : waiting.of(customer).requests()) {
-            TargetChoice.Chosen chosen = tried.add(request.arrival()) ? chooseInTime(request, choice) : null;
+            TargetChoice.Chosen chosen = examinedArrivals.add(request.arrival()) ? chooseInTime(request, choice) : null;
             if (chosen != null) {
                 start(request, choice, chosen, "in_time", nowMs, sink);
                 return true;
@@ -331,7 +331,7 @@
         return false;
     }
 
-    /** Tries only new requests; the others found no target in the last pass. */
+    /** Examines only new requests; the others found no target in the last pass. */
     private void placeArrived(TargetChoice choice, long nowMs, ActionSink sink) {
         for (WaitingRequest request : arrived) {
             TargetChoice.Chosen chosen = waiting.isInTime(request) ? chooseInTime(request, choice) : null;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementPolicy.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementPolicy.java
@@ -21,11 +21,11 @@
         return FULL;
     }
 
-    /** Enables all mechanisms except these. */
+    /** A policy with all mechanisms except these. */
     public static PlacementPolicy without(Collection<Mechanism> switchedOff) {
-        EnumSet<Mechanism> left = EnumSet.allOf(Mechanism.class);
-        left.removeAll(switchedOff);
-        return new PlacementPolicy(left);
+        EnumSet<Mechanism> enabled = EnumSet.allOf(Mechanism.class);
+        enabled.removeAll(switchedOff);
+        return new PlacementPolicy(enabled);
     }
 
     boolean has(Mechanism mechanism) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/RetryAfterPolicy.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/RetryAfterPolicy.java
@@ -19,22 +19,22 @@
 
     static long afterMs(WaitingRequest request, PlacementPolicy policy, long nowMs) {
         return policy.has(Mechanism.RETRY_SPREAD)
-                ? spreadAfterMs(request.endAtMs(), request.arrival(), nowMs)
-                : meanAfterMs(request.endAtMs(), nowMs);
+                ? spreadAfterMs(request.deadlineMs(), request.arrival(), nowMs)
+                : meanAfterMs(request.deadlineMs(), nowMs);
     }
 
     /**
-     * @param endAtMs when the caller times out
+     * @param deadlineMs when the caller times out
      * @param sequence sequence number of the request; consecutive numbers get different delays
      */
-    public static long spreadAfterMs(long endAtMs, long sequence, long nowMs) {
-        long meanMs = meanAfterMs(endAtMs, nowMs);
+    public static long spreadAfterMs(long deadlineMs, long sequence, long nowMs) {
+        long meanMs = meanAfterMs(deadlineMs, nowMs);
         double step = (double) (sequence % SPREAD_STEPS) / SPREAD_STEPS;
         return Math.round(meanMs * (1 - SPREAD / 2 + SPREAD * step));
     }
 
-    private static long meanAfterMs(long endAtMs, long nowMs) {
-        long fractionMs = (endAtMs - nowMs) / DIVISOR;
+    private static long meanAfterMs(long deadlineMs, long nowMs) {
+        long fractionMs = (deadlineMs - nowMs) / DIVISOR;
         return Math.max(MIN_RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, fractionMs));
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/SizeClass.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/SizeClass.java
@@ -2,10 +2,10 @@
 
 /** Classifies a request by the part of its objective that remains after its prefill. */
 enum SizeClass {
-    /** Less time remains than requests wait under overload, so that it would rarely be started in time. */
+    /** The time left after the prefill is shorter than the typical queue wait under overload: rarely started in time. */
     LARGE,
     USUAL,
-    /** Its objective had expired on arrival: a retry, so its remaining time says nothing about its size. */
+    /** The objective had expired on arrival: the request is a retry, so its remaining time does not show its size. */
     NOT_COUNTED;
 
     /** The typical queue wait under overload as a share of the objective, by order of magnitude. */
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetChoice.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetChoice.java
@@ -56,8 +56,8 @@
     private static final double LOAD_MS = 30;
     /** Prefill work kept queued at an engine, so that it does not run idle while the next request is in transit. */
     static final double MIN_PREFILL_QUEUE_MS = 25;
-    /** Typical prediction error as a factor; a wait that leaves less slack is not risked. */
-    private static final double PREDICTION_MARGIN = 1.25;
+    /** Typical error of the predicted time to first byte, as a factor; a wait with less slack is not risked. */
+    private static final double WAIT_SAFETY_FACTOR = 1.25;
     /** Maximum load at which a target has spare capacity. */
     static final double SPARE_LOAD = 0.75;
     /**
@@ -154,7 +154,7 @@
         if (best.waitMs() == 0) {
             return best.chosen();
         }
-        double firstByteMs = PREDICTION_MARGIN
+        double firstByteMs = WAIT_SAFETY_FACTOR
                 * (best.waitMs() + model.expectedMs(best.chosen().prefillTokens()));
         boolean canWait = nowMs + firstByteMs <= request.objectiveAtMs();
         return canWait || isTooExpensive(bestFree, best) ? null : bestFree.chosen();
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetLoad.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetLoad.java
@@ -12,16 +12,17 @@
     /** Weight of the newest value in an exponential moving average. */
     private static final double GAIN = 0.1;
     /**
-     * Half-life of an observed mean, which decays towards the optimistic estimate so that a slow target is tried again.
+     * Half-life of an observed mean, which decays towards the optimistic estimate so that a slow target is used again.
      */
     private static final double HALF_LIFE_MS = 5_000;
     /**
      * Expected service time of a target without recent observations, relative to the pool's mean. With the mean itself,
      * a target that was slow once would stay the most expensive one as long as requests arrive one at a time.
      */
-    private static final double OPTIMISM = 0.8;
+    private static final double OPTIMISTIC_SERVICE_SHARE = 0.8;
     /**
-     * Share of an engine's memory; the rest is left for what the arbiter cannot see: other arbiters, longer responses.
+     * Share of an engine's memory that placements may use; the rest is reserved for load that the arbiter does not know
+     * of: requests of other arbiters and responses that are longer than expected.
      */
     private static final double USABLE_MEMORY_SHARE = 0.9;
 
@@ -162,13 +163,13 @@
         servedAtMs = nowMs;
     }
 
-    /** The mean service time here; the pool's mean if none was observed; an old value decays. */
+    /** The mean service time here, decayed by its age; the pool's mean if none was observed. */
     double meanServiceMs(double poolMeanMs, long nowMs) {
         if (servedAtMs == 0) {
             return poolMeanMs;
         }
         double freshness = Math.pow(0.5, (nowMs - servedAtMs) / HALF_LIFE_MS);
-        double optimisticMs = OPTIMISM * poolMeanMs;
+        double optimisticMs = OPTIMISTIC_SERVICE_SHARE * poolMeanMs;
         return optimisticMs + freshness * (serviceMs - optimisticMs);
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/WaitingRequest.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/WaitingRequest.java
@@ -14,7 +14,7 @@
  * @param placementId id chosen by the entry instance
  * @param arrival position in the order of arrival
  * @param objectiveAtMs when its first byte is late
- * @param endAtMs when its entry instance rejects it on its own
+ * @param deadlineMs when its entry instance rejects it, because its caller times out
  * @param size class by the part of the objective that remains after its prefill
  * @param prefillTokens tokens that the engine with most of the prompt cached would have to prefill
  */
@@ -29,7 +29,7 @@
         long outputTokens,
         long arrivedAtMs,
         long objectiveAtMs,
-        long endAtMs,
+        long deadlineMs,
         Set<TargetId> excluded,
         SizeClass size,
         long prefillTokens) {
@@ -39,7 +39,7 @@
      */
     private static final long OUTPUT_TOKEN_COST = 2;
 
-    /** Creates a request from its message; {@link #assessed} sets its size. */
+    /** Creates a request from its message; {@link #withSize} sets its size. */
     static WaitingRequest of(InstanceId entry, PeerMessage.Place message, long arrival, long nowMs) {
         return new WaitingRequest(
                 entry,
@@ -58,7 +58,7 @@
                 0);
     }
 
-    WaitingRequest assessed(SizeClass newSize, long newPrefillTokens) {
+    WaitingRequest withSize(SizeClass newSize, long newPrefillTokens) {
         return new WaitingRequest(
                 entry,
                 placementId,
@@ -70,7 +70,7 @@
                 outputTokens,
                 arrivedAtMs,
                 objectiveAtMs,
-                endAtMs,
+                deadlineMs,
                 excluded,
                 newSize,
                 newPrefillTokens);
