--- a/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/Arbiter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/Arbiter.java
@@ -60,7 +60,7 @@
     private final long openAtMs;
     private final Map<TargetId, TargetSlots> targets = new TreeMap<>();
     private final Map<InstanceId, EntryState> entries = new TreeMap<>();
-    private final Map<CustomerId, Set<InstanceId>> offering = new HashMap<>();
+    private final Map<CustomerId, Set<InstanceId>> offeringEntries = new HashMap<>();
     private final Map<CustomerId, Long> lastChargeTotals = new HashMap<>();
     private long nextSequence = 1;
     private long nextChargesAtMs;
@@ -108,7 +108,7 @@
         return entries.containsKey(entry);
     }
 
-    /** Notes that a message arrived from the entry. */
+    /** Records that a message arrived from the entry, which acknowledges all grants sent to it. */
     public void messageReceived(InstanceId entry) {
         EntryState state = entries.get(entry);
         if (state != null) {
@@ -199,7 +199,7 @@
             return;
         }
         release(request.target());
-        shares.charge(request.customer(), request.recharge(0));
+        shares.charge(request.customer(), request.updateCharge(0));
         TargetSlots target = targets.get(request.target());
         if (target != null && reason == PeerMessage.DeclineReason.TARGET_LEAVING) {
             // The entry's target list is newer. Without this, grants and declines would alternate until this instance
@@ -215,7 +215,7 @@
             return;
         }
         double expected = FairShares.expectedCostTokens(costTokens, request.estimateTokens());
-        shares.charge(request.customer(), request.recharge(expected));
+        shares.charge(request.customer(), request.updateCharge(expected));
     }
 
     public void attemptEnded(InstanceId entry, long sequence, long costTokens, boolean targetFault, long nowMs) {
@@ -225,7 +225,7 @@
             return;
         }
         release(request.target());
-        shares.charge(request.customer(), request.recharge(costTokens));
+        shares.charge(request.customer(), request.updateCharge(costTokens));
         recordHealth(request.target(), targetFault, nowMs);
         if (!targetFault && costTokens > 0) {
             shares.updateEstimate(request.customer(), costTokens);
@@ -327,7 +327,7 @@
     private InstanceId nextEntry(CustomerId customer) {
         InstanceId best = null;
         EntryState.CustomerOffer bestOffer = null;
-        for (InstanceId entry : offering.getOrDefault(customer, Set.of())) {
+        for (InstanceId entry : offeringEntries.getOrDefault(customer, Set.of())) {
             EntryState.CustomerOffer offer = entryState(entry).offers().get(customer);
             if (offer != null && (bestOffer == null || precedes(offer, bestOffer))) {
                 best = entry;
@@ -382,20 +382,22 @@
         if (offered.waiting() == 0) {
             dropOffer(entry, state, customer);
         } else {
-            offering.computeIfAbsent(customer, missing -> new TreeSet<>()).add(entry);
+            offeringEntries
+                    .computeIfAbsent(customer, missing -> new TreeSet<>())
+                    .add(entry);
         }
         shares.waiting(customer, shares.account(customer).waiting() + change);
     }
 
     private void dropOffer(InstanceId entry, EntryState state, CustomerId customer) {
         state.offers().remove(customer);
-        Set<InstanceId> others = offering.get(customer);
+        Set<InstanceId> others = offeringEntries.get(customer);
         if (others == null) {
             return;
         }
         others.remove(entry);
         if (others.isEmpty()) {
-            offering.remove(customer);
+            offeringEntries.remove(customer);
         }
     }
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/GrantedRequest.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/GrantedRequest.java
@@ -30,7 +30,7 @@
     }
 
     /** Sets the total charge and returns the change in tokens. */
-    double recharge(double tokens) {
+    double updateCharge(double tokens) {
         double change = tokens - chargedTokens;
         chargedTokens = tokens;
         return change;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/cell/ArbiterAssignment.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/cell/ArbiterAssignment.java
@@ -14,9 +14,9 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * Selects the arbiter of each cell by bounded-load rendezvous hashing among the instances with the most processor.
+ * Selects the arbiter of each cell by bounded-load rendezvous hashing among the instances with the most processor capacity.
  *
- * <p>Every request of a cell passes through its arbiter, so an arbiter that runs out of processor stalls the cell for
+ * <p>Every request of a cell passes through its arbiter, so an arbiter that runs out of processor time stalls the cell for
  * all customers while its targets idle. Each cell therefore ranks the eligible instances by rendezvous weight, those of
  * the {@link ProcessorTier} before all others, and takes the first one that has fewer cells than its quota: its
  * processor's share of all cells, rounded up. Plain rendezvous hashing would give one of 9 equal instances three of 8
--- a/kernel/src/main/java/org/marjoramswitch/kernel/cell/ProcessorTier.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/cell/ProcessorTier.java
@@ -10,13 +10,13 @@
 import org.marjoramswitch.kernel.model.Member;
 
 /**
- * The eligible instances that have at least half the processor of the largest one.
+ * The eligible instances that have at least half the processor capacity of the largest one.
  *
- * <p>Instances that have not announced their processor count as the smallest and as equal to each other.
+ * <p>Instances that have not announced their capacity count as the smallest and as equal to each other.
  */
 final class ProcessorTier {
     private static final int MIN_MILLICORES = 1;
-    /** Members of the tier have at least the largest processor divided by this number. */
+    /** Members of the tier have at least the largest capacity divided by this number. */
     private static final int TIER_DIVISOR = 2;
 
     private final Map<InstanceId, Integer> millicoresById;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/AcceptorRoles.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/AcceptorRoles.java
@@ -19,7 +19,7 @@
 
     private AcceptorRoles() {}
 
-    /** The acceptors in a view, ordered by data centre. Leaving members are not selected. */
+    /** The acceptors in a view, ordered by data centre. Draining members are not selected. */
     public static List<InstanceId> acceptors(FleetView view, int perDataCentre) {
         SortedMap<DataCentreId, List<InstanceId>> byDataCentre = new TreeMap<>();
         view.members().values().stream()
--- a/kernel/src/main/java/org/marjoramswitch/kernel/configuration/SettingsAcceptor.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/configuration/SettingsAcceptor.java
@@ -118,7 +118,7 @@
             // Removed teams fall back to their accepted bodies, which may cause further conflicts.
         }
         SortedMap<String, TeamBody> bodies = bodies();
-        bodies.forEach(this::noteSuperseded);
+        bodies.forEach(this::addSupersededNotices);
         boolean publish = mustPublish || !candidates.isEmpty();
         return new Acceptance(publish ? AcceptedTree.built(generation, bodies) : null, refusals);
     }
@@ -272,7 +272,7 @@
             }
         }
         bodies.values().removeIf(body -> body.documents().isEmpty());
-        bodies.forEach(this::noteSuperseded);
+        bodies.forEach(this::addSupersededNotices);
         return new Acceptance(AcceptedTree.built(generation, bodies), refusals);
     }
 
@@ -292,7 +292,7 @@
         return documents;
     }
 
-    private void noteSuperseded(String team, TeamBody body) {
+    private void addSupersededNotices(String team, TeamBody body) {
         body.documents().forEach((name, document) -> {
             if (document.superseded()) {
                 String detail =
--- a/kernel/src/main/java/org/marjoramswitch/kernel/event/Event.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/event/Event.java
@@ -50,7 +50,7 @@
     /** A newer generation of settings is in effect. */
     record SettingsAccepted(FleetSettings settings) implements Event {}
 
-    /** The platform's list marks these targets as draining; all others are live. */
+    /** The platform's target list marks these targets as draining; all others are live. */
     record TargetsLeaving(Set<TargetId> leaving) implements Event {}
 
     /**
--- a/kernel/src/main/java/org/marjoramswitch/kernel/liveness/SilentPeerDetector.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/liveness/SilentPeerDetector.java
@@ -15,8 +15,8 @@
  * Until the membership declares the instance dead, an entry's requests would wait for its grants although slots are
  * free, and an arbiter would grant slots to requests that never start. A peer from which no message arrived for {@value
  * #PROBE_AFTER_MS} ms is therefore probed, and after {@value #SILENT_AFTER_MS} ms without any message it counts as
- * silent. Other peers are not probed: heartbeats on every link were a third of the control traffic in bytes at 350
- * instances.
+ * silent. Other peers are not probed: with heartbeats on every link, these would be a third of the control
+ * traffic in bytes at 350 instances.
  */
 public final class SilentPeerDetector {
     static final long PROBE_AFTER_MS = 130;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/FailureDetector.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/FailureDetector.java
@@ -114,7 +114,7 @@
         if (!started) {
             start(nowMs);
         }
-        allowForPause(nowMs);
+        extendDeadlinesAfterPause(nowMs);
         if (!left) {
             runProbe(nowMs);
             runReconnect(nowMs);
@@ -213,7 +213,7 @@
      * Extends all deadlines by a gap between ticks: this instance was paused and could not receive, so datagrams that
      * it missed must not raise suspicions.
      */
-    private void allowForPause(long nowMs) {
+    private void extendDeadlinesAfterPause(long nowMs) {
         long gapMs = nowMs - lastTickMs;
         lastTickMs = nowMs;
         if (gapMs <= options.maxTickGapMs()) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberEntry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberEntry.java
@@ -4,7 +4,7 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 import org.marjoramswitch.kernel.model.Member;
 
-/** What this instance knows about one other member. */
+/** This instance's state of one other member. */
 final class MemberEntry {
     private static final int MAX_FLAPS = 3;
 
@@ -18,7 +18,7 @@
     private int processorMillicores;
     private long generation;
     private long deadlineMs;
-    private long endedMs;
+    private long goneAtMs;
     private long lastSuspectedMs;
     private int flaps;
 
@@ -59,7 +59,7 @@
     }
 
     void markAlive(long nowMs, FailureDetectorOptions options) {
-        if (status == MemberStatus.DEAD && nowMs - endedMs < options.flapMemoryMs()) {
+        if (status == MemberStatus.DEAD && nowMs - goneAtMs < options.flapMemoryMs()) {
             flaps = Math.min(MAX_FLAPS, flaps + 1);
         }
         status = MemberStatus.ALIVE;
@@ -77,9 +77,9 @@
         deadlineMs = nowMs + suspicionMs * (1 + flaps);
     }
 
-    void markEnded(MemberStatus ended, long nowMs) {
-        status = ended;
-        endedMs = nowMs;
+    void markGone(MemberStatus newStatus, long nowMs) {
+        status = newStatus;
+        goneAtMs = nowMs;
     }
 
     void postpone(long byMs) {
@@ -93,7 +93,7 @@
 
     /** Whether the member died so recently that other instances may not know. */
     boolean diedRecently(long nowMs, FailureDetectorOptions options) {
-        return status == MemberStatus.DEAD && nowMs - endedMs < options.deathGossipMs();
+        return status == MemberStatus.DEAD && nowMs - goneAtMs < options.deathGossipMs();
     }
 
     boolean isOverdue(long nowMs) {
@@ -101,7 +101,7 @@
     }
 
     boolean isExpired(long nowMs, FailureDetectorOptions options) {
-        return !isPresent() && nowMs - endedMs >= options.deadRetentionMs();
+        return !isPresent() && nowMs - goneAtMs >= options.deadRetentionMs();
     }
 
     /** Returns this entry as an update; a dead member is reported as suspect, so that it can refute. */
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberTable.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/MemberTable.java
@@ -12,8 +12,8 @@
 import org.marjoramswitch.kernel.model.Member;
 
 /**
- * Holds what this instance knows about the other members and applies updates in their order: a newer incarnation
- * overrides an older one, then a newer revision, then a worse status.
+ * Holds this instance's state of the other members and applies updates by precedence: a newer incarnation overrides an
+ * older one, then a newer revision, then a worse status.
  *
  * <p>No update from a peer makes a member dead here. A suspicion starts this instance's own suspicion timeout, so that
  * the two halves of a healed partition don't remove each other's members: a member that is alive receives the suspicion
@@ -113,7 +113,7 @@
     void expireSuspicions(long nowMs) {
         for (MemberEntry entry : notAlive.values()) {
             if (entry.isOverdue(nowMs)) {
-                end(entry, MemberStatus.DEAD, Change.DIED, nowMs);
+                markGone(entry, MemberStatus.DEAD, Change.DIED, nowMs);
             }
         }
     }
@@ -203,14 +203,14 @@
         entry.applyAnnouncement(update);
         if (entry.isPresent()) {
             updates.add(update);
-            end(entry, MemberStatus.LEFT, Change.LEFT, nowMs);
+            markGone(entry, MemberStatus.LEFT, Change.LEFT, nowMs);
         } else {
-            entry.markEnded(MemberStatus.LEFT, nowMs);
+            entry.markGone(MemberStatus.LEFT, nowMs);
         }
     }
 
-    private void end(MemberEntry entry, MemberStatus status, Change change, long nowMs) {
-        entry.markEnded(status, nowMs);
+    private void markGone(MemberEntry entry, MemberStatus status, Change change, long nowMs) {
+        entry.markGone(status, nowMs);
         notAlive.put(entry.id(), entry);
         present--;
         observer.accept(entry, change);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/message/PeerMessage.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/message/PeerMessage.java
@@ -53,7 +53,8 @@
      * Arbiter to entry: start one request of the customer at the target.
      *
      * @param sequence increasing, unique within the arbiter's incarnation and cell
-     * @param aheadTokens lead of the customer's virtual counter over the least one of a backlogged customer
+     * @param aheadTokens lead of the customer's virtual counter over the floor, see {@link
+     *     org.marjoramswitch.kernel.fair.FairShares#lead}
      */
     record Grant(CellId cell, long sequence, CustomerId customer, TargetId target, long aheadTokens)
             implements PeerMessage {
@@ -102,13 +103,13 @@
         }
     }
 
-    /** Asks the home instance of a request key for the request's state. */
+    /** Queries the state of a request at the home instance of its key. */
     record KeyQuery(long queryId, String key, CustomerId customer) implements PeerMessage {}
 
     /** Response to {@link KeyQuery}. */
     record KeyReply(long queryId, KeyState state) implements PeerMessage {}
 
-    /** Asks an arbiter whether it ever granted requests of an entry that is gone. */
+    /** Queries an arbiter for whether it ever granted requests of an entry that is gone. */
     record WitnessQuery(long queryId, CellId cell, String entry, long entryIncarnation, long sinceMs)
             implements PeerMessage {}
 
@@ -293,7 +294,7 @@
     /** Shows that the link still works while no other message is sent. */
     record Heartbeat() implements PeerMessage {}
 
-    /** Asks a peer whether its kernel still runs; the heartbeats of a link show only that its socket works. */
+    /** Requests a reply from the peer's kernel; the heartbeats of a link show only that its socket works. */
     record Probe(long number) implements PeerMessage {
         @Override
         public boolean prompt() {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/model/Member.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/model/Member.java
@@ -3,7 +3,7 @@
 /**
  * An instance in a membership view.
  *
- * @param incarnation increases with every restart of the instance; state of an older incarnation is void
+ * @param incarnation increases with every restart of the instance; state of an older incarnation is invalid
  * @param leaving whether the instance has announced its graceful shutdown
  * @param processorMillicores processor limit of the instance in thousandths of a core; {@link #UNKNOWN_PROCESSOR} if it
  *     has not been announced
--- a/kernel/src/main/java/org/marjoramswitch/kernel/request/KeyRegistry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/request/KeyRegistry.java
@@ -30,7 +30,7 @@
  * keys get a floor.
  *
  * <p><b>Time:</b> Ages compare the clocks of two instances. If a clock went back, old keys would become young again and
- * an evicted one could run twice, so the registry uses the latest time that it was ever given. Clock differences cause
+ * an evicted one could run twice, so the registry uses the maximum of all times that were passed to it. Clock differences cause
  * rejections, never a second execution.
  *
  * <p><b>Customers</b> have separate entries: another customer's key is unseen, so nobody can attach to another
@@ -95,8 +95,8 @@
      * Returns the state of a key for an attempt at another instance. A key that has not started is marked dead, so that
      * the "not run" reported by the other instance remains true.
      */
-    public KeyState query(CustomerId customer, RequestKey key, long askedAtMs) {
-        advanceClock(askedAtMs);
+    public KeyState query(CustomerId customer, RequestKey key, long queriedAtMs) {
+        advanceClock(queriedAtMs);
         CustomerKeys keys = keys(customer);
         Entry existing = keys.entries.get(key);
         if (existing != null) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/settings/TargetSettings.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/settings/TargetSettings.java
@@ -9,7 +9,7 @@
  *
  * @param host an IP address
  * @param slots concurrent requests, used until the target reports its own limit
- * @param checksFencing whether it rejects orders with an old fencing number
+ * @param checksFencing whether the target rejects orders with an outdated fencing number
  * @param memory memory of a model engine
  * @param startedAtMs start time of the target process by its own clock, 0 if unknown. A target that restarts under the
  *     same name is a new one, without cached prompts or running requests.
--- a/kernel/src/main/java/org/marjoramswitch/kernel/watch/WatchSharing.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/watch/WatchSharing.java
@@ -48,8 +48,8 @@
      */
     private static final long STANDALONE_AFTER_MS = 1_500;
     /**
-     * Grace period when all instances start together: on the smallest machines it takes seconds until they know one
-     * another and the watchers have read the store. Watches opened meanwhile would each receive the other instances'
+     * Grace period when all instances start together: on the smallest machines it takes seconds until they have
+     * discovered one another and the watchers have read the store. Watches opened meanwhile would each receive the other instances'
      * list entries one by one.
      */
     private static final long STARTUP_GRACE_MS = 4_000;
@@ -114,19 +114,21 @@
             }
         }
         String home = self.dataCentre().name();
-        List<InstanceId> near = byDataCentre.getOrDefault(home, List.of());
+        List<InstanceId> localMembers = byDataCentre.getOrDefault(home, List.of());
         List<InstanceId> previous = watchers;
-        watchers = watchers(home, near);
+        watchers = watchers(home, localMembers);
         if (!watchers.equals(previous)) {
             watchersSinceMs = nowMs;
             lastHeartbeatMs = nowMs - startedAtMs < STARTUP_GRACE_MS ? nowMs : lastHeartbeatMs;
         }
-        everyInstanceWatches = near.size() <= SMALL_DATA_CENTRE;
-        neighbours = near.stream().filter(member -> !member.equals(self.id())).toList();
+        everyInstanceWatches = localMembers.size() <= SMALL_DATA_CENTRE;
+        neighbours = localMembers.stream()
+                .filter(member -> !member.equals(self.id()))
+                .toList();
         byDataCentre.remove(home);
-        List<InstanceId> far = new ArrayList<>();
-        byDataCentre.forEach((dataCentre, members) -> far.addAll(watchers(dataCentre, members)));
-        remoteWatchers = List.copyOf(far);
+        List<InstanceId> remote = new ArrayList<>();
+        byDataCentre.forEach((dataCentre, members) -> remote.addAll(watchers(dataCentre, members)));
+        remoteWatchers = List.copyOf(remote);
     }
 
     /** Starts notifications of changes below a prefix that this instance has read completely at this revision. */
--- a/kernel/src/main/java/org/marjoramswitch/kernel/wire/DatagramCodec.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/wire/DatagramCodec.java
@@ -22,8 +22,8 @@
  * Codec of the failure detector's datagrams: a truncated HMAC-SHA256 under the fleet key, followed by one MessagePack
  * array.
  *
- * <p>The authentication code rejects datagrams of other senders and fleets. A replayed datagram has no effect: the
- * order of incarnations and revisions makes outdated updates void, and the suspected member refutes a false suspicion.
+ * <p>The authentication code rejects datagrams of other senders and fleets. A replayed datagram has no effect: outdated
+ * updates are ignored by the order of incarnations and revisions, and the suspected member refutes a false suspicion.
  *
  * <p>A datagram of an unknown type still carries the sender and updates, so it decodes to {@link Datagram.Unknown}.
  * Fields may be appended with a default. Not thread-safe.
--- a/kernel/src/main/java/org/marjoramswitch/kernel/wire/LinkEncoder.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/wire/LinkEncoder.java
@@ -7,8 +7,8 @@
  *
  * <p>A message is a MessagePack array of its type number and its fields. Names of customers, targets, pools and cells
  * are numbered per link: a definition precedes the first message that uses the name, and from then on the name takes
- * one or two bytes. Sequences and charges are delta-encoded per cell. A demand then takes about 4 bytes, a grant 8 to
- * 10, a progress report or an end 6 to 8.
+ * one or two bytes. Sequences and charges are delta-encoded per cell. A demand message then takes about 4 bytes, a
+ * grant 8 to 10, and a progress or end message 6 to 8.
  *
  * <p>Definitions are separate from messages because an older peer skips a message of an unknown type completely. If a
  * name were defined inside the message, the peer would miss the definition and attribute later messages to the wrong
