--- a/daemon/src/main/java/org/marjoramswitch/daemon/Daemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/Daemon.java
@@ -64,7 +64,7 @@
                 components,
                 options,
                 this::startTargets,
-                callerOptions.times().addressKeepMs());
+                callerOptions.times().addressLifetimeMs());
         EtcdGatewayStore store = startStore();
         core.persistCrashesIn(store);
         startLoadReader();
--- a/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
@@ -60,7 +60,7 @@
                 options.withMaxWaiting(local.maxWaiting()),
                 (worker, metrics) -> components.add(
                         UndertowTargetClient.start(worker, platform.targets(), platform.protocol(), metrics)),
-                platform.callers().times().addressKeepMs());
+                platform.callers().times().addressLifetimeMs());
         SharedWatchStore store = components.add(SharedWatchStore.start(
                 platform.store().apply(core),
                 core.self(),
--- a/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
@@ -73,7 +73,7 @@
 
     private volatile Consumer<FleetView> viewListener = view -> {};
     /** Null only during the start, before any request is sent to a target. */
-    private volatile @Nullable PoisonRequestStore crashStore;
+    private volatile @Nullable PoisonRequestStore poisonRequestStore;
 
     private volatile long generation;
 
@@ -82,7 +82,7 @@
             StartedComponents components,
             KernelOptions options,
             TargetClientFactory targetClients,
-            long addressKeepMs)
+            long addressLifetimeMs)
             throws IOException {
         this.settings = settings;
         this.components = components;
@@ -95,10 +95,10 @@
                 .peers(peers)
                 .targets(targetClients.start(worker, metrics))
                 .observer(startRecorder(RecordingHeader.of(self, options)))
-                .linkCutter(peers::disconnect)
-                .crashKeeper(this::persistCrashes)
+                .peerDisconnector(peers::disconnect)
+                .crashPersister(this::persistCrashes)
                 .start());
-        this.directory = createDirectory(addressKeepMs);
+        this.directory = createDirectory(addressLifetimeMs);
         this.drain = components.add(
                 Drain.of(() -> decisions.drained().isDone() && hasNoOpenCalls(), clock, settings.drainDeadlineMs()));
     }
@@ -109,15 +109,15 @@
         TargetClient start(XnioWorker worker, MetricRegistry metrics);
     }
 
-    /** @param addressKeepMs how long callers may keep using an address they were given */
+    /** @param addressLifetimeMs how long callers may keep using an address they were given */
     static InstanceCore start(
             LocalSettings settings,
             StartedComponents components,
             KernelOptions options,
             TargetClientFactory targetClients,
-            long addressKeepMs)
+            long addressLifetimeMs)
             throws IOException {
-        return new InstanceCore(settings, components, options, targetClients, addressKeepMs);
+        return new InstanceCore(settings, components, options, targetClients, addressLifetimeMs);
     }
 
     /**
@@ -222,11 +222,11 @@
     void persistCrashesIn(KeyValueStore store) {
         PoisonRequestStore.Delay delay =
                 (delayMs, task) -> worker.getIoThread().executeAfter(task, delayMs, MILLISECONDS);
-        crashStore = PoisonRequestStore.of(store, decisions, System::currentTimeMillis, delay);
+        poisonRequestStore = PoisonRequestStore.of(store, decisions, System::currentTimeMillis, delay);
     }
 
     private void persistCrashes(Action.KeepCrashes kept) {
-        PoisonRequestStore current = crashStore;
+        PoisonRequestStore current = poisonRequestStore;
         if (current != null) {
             current.save(kept);
         }
@@ -258,9 +258,9 @@
         }
         directory.setListed(list.instances());
         decisions.offer(new Event.TargetsLeaving(new TreeSet<>(list.leavingTargets())));
-        PoisonRequestStore crashes = crashStore;
-        if (crashes != null) {
-            crashes.onListRead(list.crashes());
+        PoisonRequestStore store = poisonRequestStore;
+        if (store != null) {
+            store.onListRead(list.crashes());
         }
     }
 
@@ -321,8 +321,8 @@
         return metrics.counter(OPEN_CALLS).getCount() == 0;
     }
 
-    private FleetDirectory createDirectory(long addressKeepMs) {
-        CustomerSpread spread = CustomerSpread.of(self.id(), decisions::openRequests, addressKeepMs);
+    private FleetDirectory createDirectory(long addressLifetimeMs) {
+        CustomerSpread spread = CustomerSpread.of(self.id(), decisions::openRequests, addressLifetimeMs);
         return FleetDirectory.of(
                 self,
                 settings.callers(),
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ApiKeys.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ApiKeys.java
@@ -16,18 +16,18 @@
     }
 
     /**
-     * Returns the key's customer; null if there is no key or it is unknown.
+     * Returns the key's customer; null if there is no key or it is uncurrent.
      *
      * @param authorization the value of the Authorization header
      */
     @Nullable
     CustomerId customer(long generation, Map<CustomerId, CustomerSettings> customers, @Nullable String authorization) {
-        ApiKeyIndex known = index;
-        if (!known.isOf(generation)) {
+        ApiKeyIndex current = index;
+        if (!current.isOf(generation)) {
             // Two threads may both build the index, which costs little and happens once per generation.
-            known = ApiKeyIndex.of(generation, customers);
-            index = known;
+            current = ApiKeyIndex.of(generation, customers);
+            index = current;
         }
-        return known.customer(authorization);
+        return current.customer(authorization);
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/Authenticator.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/Authenticator.java
@@ -26,7 +26,7 @@
 
     /** The customer, or the reason for the rejection. */
     sealed interface Result {
-        record Known(CustomerId customer) implements Result {}
+        record Authenticated(CustomerId customer) implements Result {}
 
         record Refused(Failure failure) implements Result {}
     }
@@ -44,6 +44,6 @@
                 exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION));
         return customer == null
                 ? new Result.Refused(Failure.notRun(ErrorType.UNKNOWN_API_KEY, 0, ""))
-                : new Result.Known(customer);
+                : new Result.Authenticated(customer);
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallHandler.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallHandler.java
@@ -75,7 +75,7 @@
         if (result instanceof Authenticator.Result.Refused refused) {
             return refused.failure();
         }
-        caller.identify(((Authenticator.Result.Known) result).customer());
+        caller.identify(((Authenticator.Result.Authenticated) result).customer());
         if (metrics.openRequests() > options.maxRequests()) {
             return Failure.notRun(ErrorType.ENTRY_QUEUE_FULL, FULL_RETRY_AFTER_MS, "");
         }
@@ -124,7 +124,7 @@
             refuse(caller, refused.failure());
             return;
         }
-        intake.accept(caller, ((CallReader.Result.Understood) result).call());
+        intake.accept(caller, ((CallReader.Result.Parsed) result).call());
     }
 
     private void refuse(CallerExchange caller, Failure failure) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
@@ -26,7 +26,7 @@
  * claim store first maps the caller's key to a request key, which then decides alone.
  *
  * <p>When its caller disconnects, a request without a key is cancelled. A repeatable request with a key is cancelled
- * after a grace period. One that is not repeatable runs to its end, because its caller wants it to run and can query
+ * after a grace period. One that is not repeatable runs to its end, because its caller may need it to run and can query
  * the outcome by the key.
  */
 final class CallIntake {
@@ -102,19 +102,20 @@
         String keyHash = Sha256.hex(Objects.requireNonNull(call.headers().idempotencyKey()));
         CompletableFuture<?> unused = claims.claim(call.customer(), keyHash, claimed.toString())
                 .whenComplete((result, error) -> {
-                    Claims.Result known = error == null ? result : new Claims.Result.NotClaimed("a fault");
-                    caller.onIoThread(() -> onClaim(caller, call, claimed, requestId, known));
+                    Claims.Result outcome = error == null ? result : new Claims.Result.NotClaimed("a fault");
+                    caller.onIoThread(() -> onClaim(caller, call, claimed, requestId, outcome));
                 });
     }
 
     private void onClaim(CallerExchange caller, Call call, RequestKey claimed, long requestId, Claims.Result result) {
-        if (result instanceof Claims.Result.Claimed own) {
-            begin(caller, call, claimed, requestId, own.release());
+        if (result instanceof Claims.Result.Claimed claimedNow) {
+            begin(caller, call, claimed, requestId, claimedNow.release());
         } else if (result instanceof Claims.Result.HeldBy held) {
             followHolder(caller, call, claimed, requestId, held.requestKey());
         } else {
-            // The claim may still have taken effect. The request key is marked dead so that it never runs and a retry
-            // that finds the claim learns it.
+            // The claim may still have taken effect. The request key is marked dead, so that the request never runs and
+            // a
+            // retry that finds the claim is rejected as not run.
             Failure failure = Failure.notRun(
                     ErrorType.CLAIM_UNAVAILABLE, CLAIM_RETRY_AFTER_MS, ((Claims.Result.NotClaimed) result).reason());
             refuse(caller, call, keys.refuse(call.customer(), claimed.toString(), failure));
@@ -183,11 +184,11 @@
         KeyAdmission admission = keys.begin(
                 call.customer(), key, call.fingerprint(), requestId, () -> keyedResponse(call, requestId, release));
         if (admission instanceof KeyAdmission.Started started) {
-            follow(caller, started.response());
+            attach(caller, started.response());
             submit(call, requestId, started.response().buffer(), true);
         } else if (admission instanceof KeyAdmission.Found found) {
             budget.release(call.targetCall().body().length);
-            if (!follow(caller, found.response())) {
+            if (!attach(caller, found.response())) {
                 caller.refuse(Failure.unknown(ErrorType.ANSWER_NOT_KEPT, ""), clockMs.getAsLong());
             }
         } else {
@@ -215,15 +216,16 @@
                 false,
                 budget,
                 (end, bytes) -> budget.release(call.targetCall().body().length));
-        follow(caller, requestId, buffer, new UnkeyedListener(caller, requestId));
+        attach(caller, requestId, buffer, new UnkeyedListener(caller, requestId));
         submit(call, requestId, buffer, false);
     }
 
-    private boolean follow(CallerExchange caller, KeyedResponse response) {
-        return follow(caller, response.requestId(), response.buffer(), new KeyedListener(caller, response));
+    /** Writes the response to the caller from its first byte; false if its first bytes have been freed. */
+    private boolean attach(CallerExchange caller, KeyedResponse response) {
+        return attach(caller, response.requestId(), response.buffer(), new KeyedListener(caller, response));
     }
 
-    private boolean follow(
+    private boolean attach(
             CallerExchange caller, long requestId, ResponseBuffer buffer, ResponseWriter.Listener listener) {
         caller.assign(requestId);
         caller.http().getResponseHeaders().put(REQUEST_ID, requestId);
@@ -257,7 +259,7 @@
         caller.refuse(failure, clockMs.getAsLong());
     }
 
-    /** Follows the writing to the only caller of a request without a key. */
+    /** Handles the progress of writing the response to the only caller of a request without a key. */
     private final class UnkeyedListener implements ResponseWriter.Listener {
         private final CallerExchange caller;
         private final long requestId;
@@ -288,7 +290,7 @@
         }
     }
 
-    /** Follows the writing to one of the callers of a request with a key. */
+    /** Handles the progress of writing the response to one of the callers of a request with a key. */
     private final class KeyedListener implements ResponseWriter.Listener {
         private final CallerExchange caller;
         private final KeyedResponse response;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallReader.java
@@ -23,7 +23,7 @@
 
     /** The call, or the reason for the rejection. */
     sealed interface Result {
-        record Understood(Call call) implements Result {}
+        record Parsed(Call call) implements Result {}
 
         record Refused(Failure failure) implements Result {}
     }
@@ -52,7 +52,7 @@
         forwarded.put(ForwardedHeaders.CUSTOMER, customer.name());
         TargetCall call =
                 TargetCall.of(TargetKind.MODEL_ENGINE, Methods.POST_STRING, CHAT_PATH, forwarded, body, chat.stream());
-        return new Result.Understood(new Call(
+        return new Result.Parsed(new Call(
                 customer,
                 pool,
                 headers,
@@ -80,7 +80,7 @@
                 ForwardedHeaders.toTarget(exchange.getRequestHeaders(), customer),
                 body,
                 false);
-        return new Result.Understood(
+        return new Result.Parsed(
                 new Call(customer, pool, headers, call, 0, 0, RequestDigest.of(customer, exchange, body)));
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerOptions.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerOptions.java
@@ -35,7 +35,7 @@
      * @param bodyTimeoutMs how long the body may take
      * @param idleTimeoutMs how long a connection may be idle between requests, and how long a caller may accept no byte
      * @param keepAliveMs interval of comments in an idle event stream
-     * @param addressKeepMs how long callers may use an address response
+     * @param addressLifetimeMs lifetime of an address response at the caller
      * @param reattachGraceMs how long a repeatable request with a key continues without a caller
      * @param homeTimeoutMs how long another instance may take to respond to a query of a key
      */
@@ -44,7 +44,7 @@
             int bodyTimeoutMs,
             int idleTimeoutMs,
             int keepAliveMs,
-            int addressKeepMs,
+            int addressLifetimeMs,
             int reattachGraceMs,
             int homeTimeoutMs) {
         static final Times DEFAULTS = new Times(10_000, 10_000, 60_000, 5_000, 30_000, 10_000, 1_000);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerServer.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerServer.java
@@ -62,7 +62,7 @@
                 .get(
                         "/v1/address",
                         InfoHandlers.address(
-                                authenticator, addresses, keys, options.times().addressKeepMs()))
+                                authenticator, addresses, keys, options.times().addressLifetimeMs()))
                 .get("/v1/models", InfoHandlers.models(authenticator, settings))
                 .get("/health/live", InfoHandlers.live(health))
                 .get("/health/ready", InfoHandlers.ready(health))
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerTimeoutEstimate.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerTimeoutEstimate.java
@@ -10,8 +10,8 @@
  * timeout and send the remaining time with each retry. The most frequent value is therefore the timeout of first
  * attempts, and a smaller value comes from a retry.
  *
- * <p>Without the estimate, a retry after a rejection looks like a new request: under overload half of all placements
- * went to requests that were already late, which made as many new requests late.
+ * <p>Without the estimate, a retry after a rejection looks like a new request: under overload, half of all placements
+ * then go to requests that are already late and make as many new requests late.
  *
  * <p>Edge cases: a caller with a shorter timeout than the others is taken for a retry; it is served after the others
  * and is not otherwise affected.
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerWatch.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerWatch.java
@@ -14,7 +14,7 @@
  * Detects that a caller disconnects while its response is outstanding.
  *
  * <p>Undertow reads a connection only for the next request. Without this class a close would be detected no earlier
- * than the next write, and a request whose caller has disconnected would wait and run for nothing. While a response is
+ * than the next write, and a request whose caller has disconnected would wait and run needlessly. While a response is
  * outstanding this class reads the connection itself. An end of input means that the caller closed either its
  * connection or only its sending side; the two are indistinguishable here. Bytes belong to the caller's next request
  * and are put back.
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/FailureStatus.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/FailureStatus.java
@@ -5,9 +5,9 @@
 import org.marjoramswitch.kernel.model.RunState;
 
 /**
- * Maps a failure to an error whose HTTP status claims no more than is known. Callers on routes ignore problem bodies
+ * Maps a failure to an error whose HTTP status matches the request's run state. Callers on routes ignore problem bodies
  * and use only the status: 503 and 429 guarantee that the request did not run and never will, 502 and 504 guarantee
- * nothing.
+ * nothing. A failure with an unknown run state must therefore not be reported as 503 or 429.
  */
 final class FailureStatus {
     private static final int FIRST_SERVER_ERROR = 500;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardHandler.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardHandler.java
@@ -27,16 +27,16 @@
 import org.marjoramswitch.kernel.settings.PoolSettings;
 
 /**
- * Handles calls on the operators' routes. Forwards the call and the target's response unchanged, apart from the headers
+ * Handles requests on the operators' routes. Forwards the request and the target's response unchanged, apart from the headers
  * that identify the customer and the target.
  *
- * <p>A call uses the version of the settings that was current at its start: its route, pool and timeouts do not change.
+ * <p>A request uses the version of the settings that was current at its start: its route, pool and timeouts do not change.
  */
 final class ForwardHandler implements HttpHandler {
     private static final long NOT_READY_RETRY_AFTER_MS = 1_000;
     private static final long FULL_RETRY_AFTER_MS = 1_000;
     /** Short, because another instance can accept the request immediately. */
-    private static final long BEHIND_RETRY_AFTER_MS = 100;
+    private static final long LAGGING_RETRY_AFTER_MS = 100;
 
     private final CallerOptions options;
     private final CallDecoder decoder;
@@ -45,7 +45,7 @@
     private final ApiKeys apiKeys;
     private final ConnectionReusePolicy connections;
     private final BooleanSupplier draining;
-    private final BooleanSupplier overloaded;
+    private final BooleanSupplier lagging;
     private final MemoryBudget budget;
     private final Map<String, CallerTimeoutEstimate> timeoutEstimates = new ConcurrentHashMap<>();
     private final LongSupplier clockMs;
@@ -57,7 +57,7 @@
             RequestSubmitter submitter,
             Supplier<RoutedSettings> settings,
             BooleanSupplier draining,
-            BooleanSupplier overloaded,
+            BooleanSupplier lagging,
             MemoryBudget budget,
             LongSupplier clockMs,
             CallerMetrics metrics) {
@@ -68,7 +68,7 @@
         this.apiKeys = ApiKeys.create();
         this.connections = ConnectionReusePolicy.within(options.maxConnections());
         this.draining = draining;
-        this.overloaded = overloaded;
+        this.lagging = lagging;
         this.budget = budget;
         this.clockMs = clockMs;
         this.metrics = metrics;
@@ -77,10 +77,10 @@
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         CallerExchange caller = CallerExchange.begin(exchange, metrics, clockMs.getAsLong());
-        if (overloaded.getAsBoolean()) {
-            // Checked first, because an overloaded instance must not spend time on further checks.
+        if (lagging.getAsBoolean()) {
+            // Checked first, because a lagging instance must not spend time on further checks.
             exchange.setPersistent(false);
-            Failure rejection = Failure.notRun(ErrorType.ENTRY_QUEUE_FULL, BEHIND_RETRY_AFTER_MS, "behind");
+            Failure rejection = Failure.notRun(ErrorType.ENTRY_QUEUE_FULL, LAGGING_RETRY_AFTER_MS, "behind");
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> refuse(caller, rejection));
             return;
         }
@@ -201,7 +201,7 @@
                 new ResponseRelay(buffer, new ChunkRecorder(caller), FailureStatus::of));
     }
 
-    /** Estimated time since the caller's first attempt; a retry after a rejection is late sooner. */
+    /** Estimated time since the caller's first attempt, so that a retry's latency objective counts from then. */
     private long elapsedMs(Route route, CallMetadata metadata) {
         return timeoutEstimates
                 .computeIfAbsent(route.name(), missing -> new CallerTimeoutEstimate())
@@ -249,7 +249,7 @@
         }
     }
 
-    /** Follows the writing of the response to the caller. */
+    /** Handles the progress of writing the response to the caller. */
     private final class CallListener implements ResponseWriter.Listener {
         private final CallerExchange caller;
         private final long requestId;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardServer.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardServer.java
@@ -17,7 +17,7 @@
 import org.xnio.Options;
 import org.xnio.XnioWorker;
 
-/** HTTP server of an instance that forwards calls on the operators' routes. */
+/** HTTP server of an instance that forwards requests on the operators' routes. */
 public final class ForwardServer implements AutoCloseable {
     private static final int MAX_HEADERS = 100;
     private static final int BUFFER_BYTES = 16 << 10;
@@ -63,7 +63,7 @@
                 parts.submitter(),
                 parts.settings(),
                 parts.leaving(),
-                lag::isBehind,
+                lag::isLagging,
                 budget,
                 parts.clockMs(),
                 CallerMetrics.of(metrics, budget));
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/HomeQueries.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/HomeQueries.java
@@ -72,7 +72,7 @@
             }
             open.remove(reply.queryId());
         }
-        // A different incarnation replied: the one that knew has ended, so another query would not help.
+        // A different incarnation replied: the one that the key names has ended, so another query would not help.
         boolean sameIncarnation = query.key.incarnation() == fromIncarnation;
         query.callback.accept(sameIncarnation ? resultOf(query.key, reply.state()) : new HomeQueryResult.Unknown(0));
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/InfoHandlers.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/InfoHandlers.java
@@ -25,7 +25,8 @@
 
     private InfoHandlers() {}
 
-    static HttpHandler address(Authenticator authenticator, InstanceDirectory addresses, RequestKeys keys, int keepMs) {
+    static HttpHandler address(
+            Authenticator authenticator, InstanceDirectory addresses, RequestKeys keys, int lifetimeMs) {
         AtomicLong rotation = new AtomicLong();
         return authenticated(authenticator, (exchange, customer) -> {
             List<InstanceDirectory.Entry> chosen = AddressChooser.choose(
@@ -34,11 +35,11 @@
                 Replies.sendProblem(exchange, Failure.notRun(ErrorType.NOT_READY, NO_INSTANCE_RETRY_AFTER_MS, ""), 0);
                 return;
             }
-            Replies.send(exchange, OK, Replies.JSON, Json.bytes(addressResponse(chosen, keys, keepMs)));
+            Replies.send(exchange, OK, Replies.JSON, Json.bytes(addressResponse(chosen, keys, lifetimeMs)));
         });
     }
 
-    private static ObjectNode addressResponse(List<InstanceDirectory.Entry> chosen, RequestKeys keys, int keepMs) {
+    private static ObjectNode addressResponse(List<InstanceDirectory.Entry> chosen, RequestKeys keys, int lifetimeMs) {
         ObjectNode response = Json.object();
         ArrayNode instances = response.putArray("instances");
         for (InstanceDirectory.Entry entry : chosen) {
@@ -47,7 +48,7 @@
             instance.put("address", entry.address().toString());
             instance.put("requestKeyPrefix", keys.prefix(entry.instance(), entry.incarnation()));
         }
-        response.put("keepMs", keepMs);
+        response.put("keepMs", lifetimeMs);
         return response;
     }
 
@@ -109,7 +110,7 @@
                 Replies.sendProblem(exchange, refused.failure(), 0);
                 return;
             }
-            handler.handle(exchange, ((Authenticator.Result.Known) result).customer());
+            handler.handle(exchange, ((Authenticator.Result.Authenticated) result).customer());
         };
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/LagProbe.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/LagProbe.java
@@ -32,7 +32,7 @@
         return probe;
     }
 
-    boolean isBehind() {
+    boolean isLagging() {
         return lag.isPersistent();
     }
 
@@ -54,11 +54,11 @@
         if (closed) {
             return;
         }
-        boolean wasBehind = lag.isPersistent();
+        boolean wasLagging = lag.isPersistent();
         long lateMs = Math.max(clockMs.getAsLong() - dueMs, decisionsLagMs.getAsLong());
         lag.sample(lateMs);
-        if (wasBehind != lag.isPersistent()) {
-            LOG.info(wasBehind ? "instance_on_time" : "instance_behind", "lateMs", lateMs);
+        if (wasLagging != lag.isPersistent()) {
+            LOG.info(wasLagging ? "instance_on_time" : "instance_behind", "lateMs", lateMs);
         }
         scheduleSample();
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/PersistentLagDetector.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/PersistentLagDetector.java
@@ -1,10 +1,10 @@
 package org.marjoramswitch.daemon.caller;
 
 /**
- * Detects that an instance is persistently behind with its work.
+ * Detects that an instance lags persistently: its events and timers are processed late.
  *
  * <p>All callers of a customer may use the same instance. If it accepted more requests than its processor can handle,
- * it would forward them only after their callers had timed out. An overloaded instance therefore rejects requests
+ * it would forward them only after their callers had timed out. A lagging instance therefore rejects requests
  * immediately with a short retry delay, and the caller chooses another instance.
  *
  * <p>A single late sample is ignored, because a garbage collection or an exhausted processor quota delays everything
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ResponseWriter.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ResponseWriter.java
@@ -29,8 +29,7 @@
  * closed within the body, which every HTTP/1.1 client reports as an error. A partial response is therefore never
  * mistaken for a complete one.
  *
- * <p>While an event stream has nothing to send, a comment is sent every few seconds: the caller sees that the
- * connection works, and a failing write shows this side that it does not.
+ * <p>While an event stream has nothing to send, a comment is sent every few seconds: the caller detects that the connection works, and a failing write reports a failed connection here.
  *
  * <p>The connection of a caller that does not read is closed in two cases: the caller has too many unread bytes ({@link
  * ResponseBuffer} decides), or it has accepted no byte for the stall timeout.
@@ -107,7 +106,7 @@
         ANSWERED,
         /** A problem body. */
         REFUSED,
-        /** A partial response, and a closed connection that shows it. */
+        /** A partial response; the closed connection marks it as incomplete. */
         CUT,
         /** Nothing more, because it had closed its connection. */
         CALLER_GONE,
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/RoutedCall.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/RoutedCall.java
@@ -14,7 +14,7 @@
 import org.marjoramswitch.kernel.settings.PoolSettings;
 import org.marjoramswitch.kernel.settings.TargetKind;
 
-/** A completely read call on a route. Creates its request specification and the call to the target. */
+/** A completely read request on a route. Creates its request specification and the call to the target. */
 record RoutedCall(
         long requestId,
         CustomerId customer,
@@ -30,8 +30,9 @@
     private static final long CALLER_NETWORK_MS = 10;
     /**
      * Share of the callers' progress timeout after which a repeatable request is retried on another target. Callers
-     * time out after two seconds, four objectives or eight pauses without progress, whichever is longest; the remaining
-     * share is for the other target.
+     * time out after two seconds, four latency objectives or eight pauses without progress, whichever is longest; a
+     * pause is the longest time between two chunks that the route's objective allows. The remaining share is for the
+     * other target.
      */
     private static final double SILENCE_SHARE = 0.6;
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/ActionRunner.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/ActionRunner.java
@@ -28,7 +28,7 @@
     private final EventSink events;
     private final PeerSender peers;
     private final TargetClient targets;
-    private final Consumer<Action.KeepCrashes> crashKeeper;
+    private final Consumer<Action.KeepCrashes> crashPersister;
     private final CompletableFuture<Void> drained = new CompletableFuture<>();
     private FleetSettings settings = FleetSettings.NONE;
 
@@ -37,12 +37,12 @@
             EventSink events,
             PeerSender peers,
             TargetClient targets,
-            Consumer<Action.KeepCrashes> crashKeeper) {
+            Consumer<Action.KeepCrashes> crashPersister) {
         this.requests = requests;
         this.events = events;
         this.peers = peers;
         this.targets = targets;
-        this.crashKeeper = crashKeeper;
+        this.crashPersister = crashPersister;
     }
 
     static ActionRunner of(
@@ -50,8 +50,8 @@
             EventSink events,
             PeerSender peers,
             TargetClient targets,
-            Consumer<Action.KeepCrashes> crashKeeper) {
-        return new ActionRunner(requests, events, peers, targets, crashKeeper);
+            Consumer<Action.KeepCrashes> crashPersister) {
+        return new ActionRunner(requests, events, peers, targets, crashPersister);
     }
 
     CompletableFuture<Void> drained() {
@@ -81,7 +81,7 @@
         } else if (action instanceof Action.Fail fail) {
             fail(fail.requestId(), fail.failure());
         } else if (action instanceof Action.KeepCrashes crashes) {
-            crashKeeper.accept(crashes);
+            crashPersister.accept(crashes);
         } else if (action instanceof Action.Decided decided) {
             DECISIONS.info(decided.decision().event(), decided.decision().fields());
         } else if (action instanceof Action.Drained) {
@@ -143,8 +143,7 @@
         request.releaseError();
         // The caller has received its response by the time the target's response is complete. A caller without one
         // would otherwise wait forever.
-        if (!request.isCompleted()
-                && request.fail(Failure.unknown(ErrorType.INTERNAL, "request completed without a response"))) {
+        if (!request.isCompleted() && request.fail(Failure.unknown(ErrorType.INTERNAL, "no answer"))) {
             LOG.error("completed_without_answer", "error", ErrorType.INTERNAL.number(), "request", requestId);
         }
         request.markDecided();
--- a/daemon/src/main/java/org/marjoramswitch/daemon/core/DecisionLoop.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/core/DecisionLoop.java
@@ -57,7 +57,7 @@
     private final Decider decider;
     private final LongSupplier clockMs;
     private final EventObserver observer;
-    private final Consumer<InstanceId> linkCutter;
+    private final Consumer<InstanceId> peerDisconnector;
     private final EventRing ring;
     private final OpenRequests requests;
     private final ActionRunner actions;
@@ -74,10 +74,10 @@
         this.decider = builder.decider;
         this.clockMs = builder.clockMs;
         this.observer = builder.observer;
-        this.linkCutter = builder.linkCutter;
+        this.peerDisconnector = builder.peerDisconnector;
         this.ring = EventRing.of(RING_PER_REQUEST * OpenRequests.maxOpen(builder.maxWaiting));
         this.requests = OpenRequests.of(builder.maxWaiting);
-        this.actions = ActionRunner.of(requests, this, builder.peers, builder.targets, builder.crashKeeper);
+        this.actions = ActionRunner.of(requests, this, builder.peers, builder.targets, builder.crashPersister);
         this.metrics = DecisionMetrics.of(builder.registry, ring, requests);
         this.thread = new Thread(this::run, "decisions");
     }
@@ -164,7 +164,7 @@
     private void cutLink(InstanceId peer) {
         cutLinks.add(peer);
         LOG.warn("peer_link_cut", "peer", peer, "error", ErrorType.RING_FULL.number(), "ringDepth", ring.size());
-        linkCutter.accept(peer);
+        peerDisconnector.accept(peer);
     }
 
     @Override
@@ -281,8 +281,8 @@
             return () -> {};
         };
         private EventObserver observer = EventObserver.NONE;
-        private Consumer<InstanceId> linkCutter = peer -> {};
-        private Consumer<Action.KeepCrashes> crashKeeper = crashes -> {};
+        private Consumer<InstanceId> peerDisconnector = peer -> {};
+        private Consumer<Action.KeepCrashes> crashPersister = crashes -> {};
 
         private Builder(Decider decider, LongSupplier clockMs, int maxWaiting, MetricRegistry registry) {
             this.decider = decider;
@@ -306,15 +306,15 @@
             return this;
         }
 
-        /** @param cutter closes the link to a peer, which reconnects by itself */
-        public Builder linkCutter(Consumer<InstanceId> cutter) {
-            this.linkCutter = cutter;
+        /** @param disconnector closes the link to a peer, which reconnects by itself */
+        public Builder peerDisconnector(Consumer<InstanceId> disconnector) {
+            this.peerDisconnector = disconnector;
             return this;
         }
 
-        /** @param keeper stores crash counts of a request where they survive the instances; must not block */
-        public Builder crashKeeper(Consumer<Action.KeepCrashes> keeper) {
-            this.crashKeeper = keeper;
+        /** @param persister stores a request's crash counts outside the process, so that they survive a restart; must not block */
+        public Builder crashPersister(Consumer<Action.KeepCrashes> persister) {
+            this.crashPersister = persister;
             return this;
         }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/LoadReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/LoadReader.java
@@ -48,8 +48,9 @@
         this.clockMs = clockMs;
         this.targets = targets;
         this.events = events;
-        this.pollTimer =
-                connector.anyThread().executeAtInterval(this::queryAll, options.loadEveryMs(), TimeUnit.MILLISECONDS);
+        this.pollTimer = connector
+                .anyThread()
+                .executeAtInterval(this::queryAll, options.loadIntervalMs(), TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -97,7 +98,7 @@
         }
         if (!watch.eventsPending && nowMs >= watch.eventsDueMs) {
             watch.eventsPending = true;
-            watch.eventsDueMs = nowMs + options.cacheEventsEveryMs();
+            watch.eventsDueMs = nowMs + options.cacheEventsIntervalMs();
             String path = CACHE_EVENTS_PATH + watch.lastSequence;
             TargetQuery.send(
                     connector, watch.target, path, options.timeoutMs(), response -> onCacheEvents(watch, response));
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/ResponseReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/ResponseReader.java
@@ -123,7 +123,7 @@
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
         receivedBytes += bytes.length;
-        if (receivedBytes > connector.options().maxAnswerBytes()) {
+        if (receivedBytes > connector.options().maxResponseBytes()) {
             return false;
         }
         switch (deliveryMode) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetClientOptions.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetClientOptions.java
@@ -11,7 +11,7 @@
  *     many such calls must not be repeated
  * @param maxIdlePerTarget maximum number of idle connections per target
  * @param maxOpenPerTarget maximum number of open connections per target; further attempts are refused
- * @param maxAnswerBytes maximum size of a response from a target
+ * @param maxResponseBytes maximum size of a response from a target
  */
 public record TargetClientOptions(
         long connectTimeoutMs,
@@ -19,7 +19,7 @@
         long serviceIdleAgeMs,
         int maxIdlePerTarget,
         int maxOpenPerTarget,
-        long maxAnswerBytes) {
+        long maxResponseBytes) {
     private static final TargetClientOptions DEFAULTS = new TargetClientOptions(1_000, 4_000, 250, 32, 512, 64L << 20);
 
     public static TargetClientOptions defaults() {
@@ -28,15 +28,15 @@
 
     public TargetClientOptions withIdleAgeMs(long engines, long services) {
         return new TargetClientOptions(
-                connectTimeoutMs, engines, services, maxIdlePerTarget, maxOpenPerTarget, maxAnswerBytes);
+                connectTimeoutMs, engines, services, maxIdlePerTarget, maxOpenPerTarget, maxResponseBytes);
     }
 
     public TargetClientOptions withMaxOpenPerTarget(int value) {
         return new TargetClientOptions(
-                connectTimeoutMs, idleAgeMs, serviceIdleAgeMs, maxIdlePerTarget, value, maxAnswerBytes);
+                connectTimeoutMs, idleAgeMs, serviceIdleAgeMs, maxIdlePerTarget, value, maxResponseBytes);
     }
 
-    public TargetClientOptions withMaxAnswerBytes(long value) {
+    public TargetClientOptions withMaxResponseBytes(long value) {
         return new TargetClientOptions(
                 connectTimeoutMs, idleAgeMs, serviceIdleAgeMs, maxIdlePerTarget, maxOpenPerTarget, value);
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/UndertowTargetClient.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/UndertowTargetClient.java
@@ -17,7 +17,7 @@
  * failures.
  */
 public final class UndertowTargetClient implements TargetClient, AutoCloseable {
-    private static final long SWEEP_EVERY_MS = 1_000;
+    private static final long SWEEP_INTERVAL_MS = 1_000;
 
     private final TargetConnector connector;
     private final XnioExecutor.Key sweepTimer;
@@ -26,7 +26,7 @@
         this.connector = connector;
         this.sweepTimer = worker.getIoThread()
                 .executeAtInterval(
-                        () -> connector.pool().sweep(connector.nowMs()), SWEEP_EVERY_MS, TimeUnit.MILLISECONDS);
+                        () -> connector.pool().sweep(connector.nowMs()), SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Uses the worker's I/O threads and starts none. */
--- a/daemon/src/test/java/org/marjoramswitch/daemon/core/DecisionLoopTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/core/DecisionLoopTest.java
@@ -136,7 +136,7 @@
             return dispatchAndRetry(event, nowMs);
         };
         loop = builder(blocking, 2)
-                .linkCutter(peer -> linkCuts.incrementAndGet())
+                .peerDisconnector(peer -> linkCuts.incrementAndGet())
                 .start();
         loop.offer(new Event.SettingsAccepted(settings()));
         submit(1);
--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/target/FramingTest.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/target/FramingTest.java
@@ -19,7 +19,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        fixture = new TargetFixture(TargetClientOptions.defaults().withMaxAnswerBytes(1_000));
+        fixture = new TargetFixture(TargetClientOptions.defaults().withMaxResponseBytes(1_000));
     }
 
     @AfterEach
