--- a/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
@@ -112,8 +112,8 @@
      * @param targetPrefix the key prefix under which targets register themselves
      * @param additionalListeners the addresses other than the callers', each with its handler
      * @param reload rereads the settings file
-     * @param stopAcceptingMs how long requests are still accepted after a graceful shutdown begins, because callers use
-     *     an address for as long as its response allows them to keep it
+     * @param stopAcceptingMs how long requests are still accepted after a graceful shutdown begins, because callers cache addresses for the lifetime that
+     *     their response states
      */
     public record Platform(
             Function<StoreContext, KeyValueStore> store,
@@ -174,17 +174,17 @@
     /** Sends routes' pools and listed targets to the decision loop together, whichever of the two has changed. */
     private void offerSettings() {
         RoutedSettings current = settings;
-        Map<TargetId, TargetSettings> known = new TreeMap<>();
+        Map<TargetId, TargetSettings> targetsOfPools = new TreeMap<>();
         for (TargetSettings target : targets.values()) {
             PoolSettings pool = current.pools().get(target.pool());
             if (pool != null) {
                 EngineMemory memory = current.memories().getOrDefault(pool.id(), EngineMemory.UNKNOWN);
-                known.put(target.id(), target.withMemory(memory));
+                targetsOfPools.put(target.id(), target.withMemory(memory));
             }
         }
         core.decisions()
                 .offer(new Event.SettingsAccepted(
-                        FleetSettings.of(current.version(), current.customers(), current.pools(), known)));
+                        FleetSettings.of(current.version(), current.customers(), current.pools(), targetsOfPools)));
     }
 
     private Health health() {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
@@ -51,8 +51,8 @@
 final class InstanceCore implements StoreContext {
     private static final int IO_THREADS = 2;
     private static final int TASK_THREADS = 2;
-    /** Counter maintained by the server for callers. */
-    private static final String OPEN_CALLS = "caller.open_requests";
+    /** Counter maintained by the caller-facing server. */
+    private static final String CALLER_OPEN_REQUESTS = "caller.open_requests";
 
     private static final KeyValueLog LOG = KeyValueLog.of(InstanceCore.class);
 
@@ -99,8 +99,8 @@
                 .crashPersister(this::persistCrashes)
                 .start());
         this.directory = createDirectory(addressLifetimeMs);
-        this.drain = components.add(
-                Drain.of(() -> decisions.drained().isDone() && hasNoOpenCalls(), clock, settings.drainDeadlineMs()));
+        this.drain = components.add(Drain.of(
+                () -> decisions.drained().isDone() && hasNoOpenCallerRequests(), clock, settings.drainDeadlineMs()));
     }
 
     /** Starts the client for targets. */
@@ -109,7 +109,7 @@
         TargetClient start(XnioWorker worker, MetricRegistry metrics);
     }
 
-    /** @param addressLifetimeMs how long callers may keep using an address they were given */
+    /** @param addressLifetimeMs how long callers may use an address response */
     static InstanceCore start(
             LocalSettings settings,
             StartedComponents components,
@@ -317,8 +317,8 @@
     }
 
     /** The decision loop may have finished a request whose response the caller is still reading. */
-    private boolean hasNoOpenCalls() {
-        return metrics.counter(OPEN_CALLS).getCount() == 0;
+    private boolean hasNoOpenCallerRequests() {
+        return metrics.counter(CALLER_OPEN_REQUESTS).getCount() == 0;
     }
 
     private FleetDirectory createDirectory(long addressLifetimeMs) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/PeerRouter.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/PeerRouter.java
@@ -12,19 +12,19 @@
 final class PeerRouter implements PeerListener {
     private final FleetDirectory directory;
     private final DecisionLoop decisions;
-    private final BiPredicate<InstanceId, PeerMessage> settings;
+    private final BiPredicate<InstanceId, PeerMessage> messages;
     private final KeyMessageHandler keys;
     private final Consumer<InstanceId> onLinkLost;
 
     private PeerRouter(
             FleetDirectory directory,
             DecisionLoop decisions,
-            BiPredicate<InstanceId, PeerMessage> settings,
+            BiPredicate<InstanceId, PeerMessage> messages,
             KeyMessageHandler keys,
             Consumer<InstanceId> onLinkLost) {
         this.directory = directory;
         this.decisions = decisions;
-        this.settings = settings;
+        this.messages = messages;
         this.keys = keys;
         this.onLinkLost = onLinkLost;
     }
@@ -38,16 +38,16 @@
     }
 
     /**
-     * @param settings processes a message about settings; returns false for any other
+     * @param messages processes a message about settings or shared watches; returns false for any other
      * @param onLinkLost notified of a peer whose link broke or fell silent
      */
     static PeerRouter of(
             FleetDirectory directory,
             DecisionLoop decisions,
-            BiPredicate<InstanceId, PeerMessage> settings,
+            BiPredicate<InstanceId, PeerMessage> messages,
             KeyMessageHandler keys,
             Consumer<InstanceId> onLinkLost) {
-        return new PeerRouter(directory, decisions, settings, keys, onLinkLost);
+        return new PeerRouter(directory, decisions, messages, keys, onLinkLost);
     }
 
     @Override
@@ -55,7 +55,7 @@
         if (message instanceof PeerMessage.Heartbeat) {
             return;
         }
-        if (settings.test(from, message)) {
+        if (messages.test(from, message)) {
             return;
         }
         if (!keys.onMessage(from, fromIncarnation, message)) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
@@ -108,8 +108,8 @@
     }
 
     private void onClaim(CallerExchange caller, Call call, RequestKey claimed, long requestId, Claims.Result result) {
-        if (result instanceof Claims.Result.Claimed claimedNow) {
-            begin(caller, call, claimed, requestId, claimedNow.release());
+        if (result instanceof Claims.Result.Claimed claim) {
+            begin(caller, call, claimed, requestId, claim.release());
         } else if (result instanceof Claims.Result.HeldBy held) {
             followHolder(caller, call, claimed, requestId, held.requestKey());
         } else {
@@ -203,7 +203,7 @@
     private KeyedResponse keyedResponse(Call call, long requestId, Runnable release) {
         ResponseBuffer.Limits limits =
                 new ResponseBuffer.Limits(options.maxUnreadBytes(), options.maxCachedResponseBytes());
-        KeyedEnd end = new KeyedEnd(call, release);
+        KeyedEndListener end = new KeyedEndListener(call, release);
         ResponseBuffer buffer = ResponseBuffer.create(limits, true, budget, end);
         end.response = new KeyedResponse(requestId, call.customer(), call.repeatable(), buffer);
         return end.response;
@@ -326,12 +326,12 @@
     }
 
     /** Updates the request's key and releases its memory at the end of a request with a key. */
-    private final class KeyedEnd implements ResponseBuffer.EndListener {
+    private final class KeyedEndListener implements ResponseBuffer.EndListener {
         private final Call call;
         private final Runnable release;
         private @Nullable KeyedResponse response;
 
-        KeyedEnd(Call call, Runnable release) {
+        KeyedEndListener(Call call, Runnable release) {
             this.call = call;
             this.release = release;
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/RequestKeys.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/RequestKeys.java
@@ -25,7 +25,8 @@
  * Thread-safe access to this instance's request keys: the {@link KeyRegistry}, the cached responses of its requests,
  * and the queries to and from other instances.
  *
- * <p>The registry uses the wall clock, because keys carry its time between instances; it never lets the time go back.
+ * <p>The registry uses the wall clock, because a key contains its issue time, which other instances read. Within the
+ * registry the time never decreases.
  */
 public final class RequestKeys {
     private static final long SWEEP_MS = 1_000;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/RoutedCall.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/RoutedCall.java
@@ -31,8 +31,7 @@
     /**
      * Share of the callers' progress timeout after which a repeatable request is retried on another target. Callers
      * time out after two seconds, four latency objectives or eight pauses without progress, whichever is longest; a
-     * pause is the longest time between two chunks that the route's objective allows. The remaining share is for the
-     * other target.
+     * pause is the route's maximum time between two events of a response. The remaining share is for the other target.
      */
     private static final double SILENCE_SHARE = 0.6;
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/CustomerSpread.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/CustomerSpread.java
@@ -56,12 +56,12 @@
 
     /** The number of instances that the customer's work needs; at least 1, not rounded. */
     public synchronized double spread(CustomerId customer, List<InstanceId> eligible, long nowMs) {
-        Estimate known = estimates.get(customer);
-        if (known != null && nowMs - known.madeAtMs() < addressTtlMs) {
-            return known.instances();
+        Estimate estimate = estimates.get(customer);
+        if (estimate != null && nowMs - estimate.madeAtMs() < addressTtlMs) {
+            return estimate.instances();
         }
         int open = localOpen.applyAsInt(customer);
-        double previous = known == null ? ONE_INSTANCE : known.instances();
+        double previous = estimate == null ? ONE_INSTANCE : estimate.instances();
         double unbounded = open * previous / OPEN_REQUESTS_PER_INSTANCE;
         double bounded = Math.max(previous / MAX_GROWTH, Math.min(previous * MAX_GROWTH, unbounded));
         double instances = Math.max(minSpread(customer, open, eligible), bounded);
@@ -73,7 +73,10 @@
         return Math.max(ONE_INSTANCE, instances);
     }
 
-    /** Lower bound from this instance's rank in the customer's order; ignores the work of a few stray callers. */
+    /**
+     * Lower bound from this instance's rank in the customer's order; ignores the work of a few callers outside the
+     * spread.
+     */
     private double minSpread(CustomerId customer, int open, List<InstanceId> eligible) {
         if (open < OPEN_REQUESTS_PER_INSTANCE / 2) {
             return ONE_INSTANCE;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/FleetDirectory.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/FleetDirectory.java
@@ -48,7 +48,7 @@
         return new FleetDirectory(self, selfCallers, loadFactor, onView);
     }
 
-    /** Sets the address to which this instance's callers connect, once the port is known. */
+    /** Sets the address to which this instance's callers connect, once the port is entry. */
     public synchronized void setSelfCallers(HostPort address) {
         selfCallers = address;
     }
@@ -97,8 +97,8 @@
         if (instance.equals(self)) {
             return selfCallers;
         }
-        ListedInstance known = listed.get(instance);
-        return known == null ? null : known.callers();
+        ListedInstance entry = listed.get(instance);
+        return entry == null ? null : entry.callers();
     }
 
     @Override
@@ -125,8 +125,8 @@
     }
 
     private Member merged(Member member) {
-        ListedInstance known = listed.get(member.id());
-        boolean leaving = member.leaving() || (known != null && known.leaving());
+        ListedInstance entry = listed.get(member.id());
+        boolean leaving = member.leaving() || (entry != null && entry.leaving());
         long incarnation =
                 Math.max(member.incarnation(), verifiedIncarnations.getOrDefault(member.id(), member.incarnation()));
         return new Member(member.id(), incarnation, member.dataCentre(), leaving, member.processorMillicores());
--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/InstanceRegistration.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/InstanceRegistration.java
@@ -19,18 +19,19 @@
  * Registers this instance in the platform's list if the platform does not do so itself: an entry with a lease, which is
  * deleted when the instance stops.
  *
- * <p>The list only introduces instances to each other; the membership determines which ones are alive. The lease is
+ * <p>Instances use the list only to discover each other; the membership determines which ones are alive. The lease is
  * therefore long and seldom renewed, and an outage in which it expires costs only a new entry afterwards.
  *
- * <p>A successful renewal proves little: if the store was restored from an older copy, entry and lease are gone, and
- * the lease's id may belong to another instance. Only the list shows whether the entry exists. An entry that was listed
- * and is no longer, or is not listed long after it was written, is therefore written again, with a new lease.
+ * <p>A successful renewal does not prove that the entry exists: if the store was restored from an older copy, entry and
+ * lease are gone, and the lease's id may belong to another instance. Only the list shows whether the entry exists. An
+ * entry that was listed and is no longer, or is not listed long after it was written, is therefore written again, with
+ * a new lease.
  */
 public final class InstanceRegistration implements AutoCloseable {
     private static final KeyValueLog LOG = KeyValueLog.of(InstanceRegistration.class);
     private static final String PREFIX = "list/instances/";
     /**
-     * Longer than outages of seconds; short enough that addresses of failed instances disappear before they do harm.
+     * Longer than outages of seconds; short enough that addresses of failed instances are soon removed.
      */
     private static final long LEASE_SECONDS = 20;
 
@@ -48,7 +49,7 @@
     private final String key;
     private final String value;
     private final Thread thread = new Thread(this::run, "registration");
-    private final Semaphore vanished = new Semaphore(0);
+    private final Semaphore entryMissing = new Semaphore(0);
     private volatile boolean listed;
     private long registeredAtNs;
     private long leaseId;
@@ -74,10 +75,10 @@
 
     /** Reports whether the list that was read holds this instance; called by one thread only. */
     public void onListRead(boolean isListed) {
-        boolean hasVanished = listed && !isListed;
+        boolean isMissing = listed && !isListed;
         listed = isListed;
-        if (hasVanished) {
-            vanished.release();
+        if (isMissing) {
+            entryMissing.release();
         }
     }
 
@@ -102,12 +103,12 @@
 
     /** Blocks until the next renewal is due or the entry is no longer listed. */
     private void pause(long waitMs) throws InterruptedException {
-        boolean hasVanished = vanished.tryAcquire(waitMs, TimeUnit.MILLISECONDS);
-        if (hasVanished) {
+        boolean isMissing = entryMissing.tryAcquire(waitMs, TimeUnit.MILLISECONDS);
+        if (isMissing) {
             TimeUnit.MILLISECONDS.sleep(ThreadLocalRandom.current().nextInt(MAX_REREGISTRATION_DELAY_MS));
         }
         long registeredAgeMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - registeredAtNs);
-        if (leaseId != 0 && !listed && (hasVanished || registeredAgeMs > UNLISTED_TIMEOUT_MS)) {
+        if (leaseId != 0 && !listed && (isMissing || registeredAgeMs > UNLISTED_TIMEOUT_MS)) {
             LOG.info("registration_missing", "key", key);
             leaseId = 0;
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/PoisonRequestStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/PoisonRequestStore.java
@@ -20,14 +20,17 @@
 import org.marjoramswitch.kernel.message.PeerMessage.RequestCrash;
 
 /**
- * Stores in the platform's list which requests targets have crashed under, and passes stored crashes to the decision
+ * Stores in the platform's list under which requests targets have crashed, and passes stored crashes to the decision
  * loop. Needed if all instances crash together and restart without state: otherwise a poison request would crash the
- * same number of targets again. Peers exchange crash counts without it, so entries may be late, and one that can't be
+ * same number of targets again. Peers exchange crash counts without it, so entries may be late, and one that cannot be
  * written for about a minute is dropped.
  */
 public final class PoisonRequestStore {
     private static final KeyValueLog LOG = KeyValueLog.of(PoisonRequestStore.class);
-    /** Exceeds the time that instances need to restart; a longer block is written again after its next crash. */
+    /**
+     * Exceeds the time that instances need to restart; a request that is blocked for longer is stored again after its
+     * next crash.
+     */
     private static final long LEASE_SECONDS = 600;
 
     private static final long RETRY_MS = 1_000;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/fleet/TargetList.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/fleet/TargetList.java
@@ -23,7 +23,7 @@
 /**
  * Follows the list in which targets register themselves.
  *
- * <p>A target whose entry says that it is leaving, or whose entry is gone, gets no new request. While the store is
+ * <p>A target whose entry marks it as draining, or whose entry does not exist, gets no new request. While the store is
  * down, entries expire that their targets could not renew; a live target writes its entry again soon after. Targets may
  * be kept during that time, see {@link MissingTargetPolicy}.
  */
@@ -45,7 +45,7 @@
     /** Last entry with state ready of each target that has left. */
     private final Map<TargetId, Entry> departed = new LinkedHashMap<>();
 
-    private Map<TargetId, TargetSettings> known = Map.of();
+    private Map<TargetId, TargetSettings> published = Map.of();
     private @Nullable String lastFailure;
     private long keepMissingUntilMs;
     private boolean notified;
@@ -132,7 +132,7 @@
         }
         recordDeparted(ready.keySet());
         if (nowMs < keepMissingUntilMs) {
-            ready.putAll(MissingTargetPolicy.targetsToKeep(known, listed));
+            ready.putAll(MissingTargetPolicy.targetsToKeep(published, listed));
         }
         publish(ready);
     }
@@ -167,22 +167,22 @@
     }
 
     private void publish(Map<TargetId, TargetSettings> ready) {
-        if (notified && ready.equals(known)) {
+        if (notified && ready.equals(published)) {
             return;
         }
         logChanges(ready);
         notified = true;
-        known = Map.copyOf(ready);
-        listener.accept(known);
+        published = Map.copyOf(ready);
+        listener.accept(published);
     }
 
     private void logChanges(Map<TargetId, TargetSettings> ready) {
         ready.forEach((id, target) -> {
-            if (!known.containsKey(id)) {
+            if (!published.containsKey(id)) {
                 LOG.info("target_ready", "target", id, "pool", target.pool(), "dataCentre", target.dataCentre());
             }
         });
-        known.forEach((id, target) -> {
+        published.forEach((id, target) -> {
             if (!ready.containsKey(id)) {
                 LOG.info("target_unready", "target", id, "pool", target.pool());
             }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/package-info.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/package-info.java
@@ -1,4 +1,4 @@
-/** The daemon: event loops, one thread each, around the kernel's decisions. */
+/** The daemon: runs the kernel in an event loop and connects it to callers, targets, peers and the key-value store. */
 @NullMarked
 package org.marjoramswitch.daemon;
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerLinks.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerLinks.java
@@ -113,7 +113,7 @@
     public void setPeers(Map<InstanceId, HostPort> addresses) {
         addresses.forEach((peer, address) -> {
             if (!peer.equals(self.id())) {
-                routes.compute(peer, (id, known) -> routeOrNew(id, known).withAddress(address));
+                routes.compute(peer, (id, existing) -> routeOrNew(id, existing).withAddress(address));
             }
         });
         for (PeerRoute route : routes.values()) {
@@ -167,8 +167,8 @@
         return routes.compute(peer, this::routeOrNew);
     }
 
-    private PeerRoute routeOrNew(InstanceId peer, @Nullable PeerRoute known) {
-        return known == null ? PeerRoute.of(peer, options.ringMessages()) : known;
+    private PeerRoute routeOrNew(InstanceId peer, @Nullable PeerRoute existing) {
+        return existing == null ? PeerRoute.of(peer, options.ringMessages()) : existing;
     }
 
     private void schedule(PeerRoute route) {
@@ -416,7 +416,8 @@
         }
         metrics.dropped(message);
         LOG.error("peer_message_too_large", "error", ErrorType.PEER_FRAME_INVALID.number(), "peer", route.peer());
-        // Settings bodies use no numbered names, so the peer's decoder stays in step and the link can be kept.
+        // Settings bodies contain no names that the encoder numbers, so the peer's decoder stays consistent and the
+        // link can be kept.
         if (!(message instanceof PeerMessage.SettingsBodies)) {
             disconnect(link, DisconnectReason.MESSAGE_TOO_LARGE, nowMs);
         }
@@ -506,7 +507,8 @@
     }
 
     private void remove(PeerRoute route, @Nullable PeerConnection link, long nowMs) {
-        PeerRoute kept = routes.computeIfPresent(route.peer(), (id, known) -> known.isObsolete() ? null : known);
+        PeerRoute kept =
+                routes.computeIfPresent(route.peer(), (id, existing) -> existing.isObsolete() ? null : existing);
         if (kept != null) {
             return;
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimLoop.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimLoop.java
@@ -176,16 +176,16 @@
 
     private void decide(PendingClaim first, @Nullable Entry before, long leaseId) {
         List<PendingClaim> claims = queue.remove(first.key());
-        boolean own =
+        boolean isOwner =
                 before == null || ClaimWriter.isClaim(before, first.value().claimId());
-        if (own) {
+        if (isOwner) {
             long endMs = leases.endMs(before == null ? leaseId : before.leaseId());
             complete(first, new ClaimResult.Claimed(first.key(), first.value(), endMs));
         }
         Optional<ClaimValue> holder =
-                own ? Optional.of(first.value()) : ClaimValue.parse(before == null ? "" : before.value());
+                isOwner ? Optional.of(first.value()) : ClaimValue.parse(before == null ? "" : before.value());
         claims.stream()
-                .filter(claim -> !own || claim != first)
+                .filter(claim -> !isOwner || claim != first)
                 .forEach(claim -> complete(claim, new ClaimResult.HeldBy(holder)));
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimQueue.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimQueue.java
@@ -10,7 +10,7 @@
 
 /**
  * Queue of waiting claims, grouped by key in order of arrival. Of several claims on one key only the first is written;
- * its result decides the others, so a caller that repeats one key many times can't starve other keys.
+ * its result decides the others, so a caller that repeats one key many times cannot starve other keys.
  */
 final class ClaimQueue {
     private final Map<String, Deque<PendingClaim>> byKey = new LinkedHashMap<>();
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/ClaimStore.java
@@ -31,7 +31,7 @@
  * until then, or until its lease expires, another request with this key finds it held, queries this instance, and
  * receives "not run".
  *
- * <p>In a long outage callers should not wait for what has already failed for others. Once writes have failed for half
+ * <p>In a long outage, waiting would only delay the rejection of a claim. Once writes have failed for half
  * the time that a claim may wait, one claim at a time waits and thereby probes the store; all others are rejected
  * immediately.
  *
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/FleetListParser.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/FleetListParser.java
@@ -76,9 +76,9 @@
             return;
         }
         malformed.add(entry);
-        ListedInstance known = previous.instances().get(id);
-        if (known != null) {
-            instances.put(id, known);
+        ListedInstance unchanged = previous.instances().get(id);
+        if (unchanged != null) {
+            instances.put(id, unchanged);
         }
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayWatch.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/GatewayWatch.java
@@ -19,7 +19,7 @@
  * Watch of a prefix that tolerates silently dropped connections.
  *
  * <p>A watch connection is silent when nothing changes, and equally silent when a middlebox has dropped its state; the
- * two cases can't be distinguished on that connection. Each connection is therefore trusted for a bounded time only: a
+ * two cases cannot be distinguished on that connection. Each connection is therefore trusted for a bounded time only: a
  * second one is then opened from the revision after the last delivered one, and once the store has acknowledged it, the
  * first is closed. Changes that the first one missed are in the store's history and arrive on the second. A change is
  * thus delayed by at most the maximum watch age plus the time of an acknowledgement; the default age of 3 s costs one
@@ -28,8 +28,8 @@
  * <p>While both connections are open, a change may arrive on both; it is delivered only if its revision is above the
  * last delivered one. All changes of one revision arrive in one message, so none of them is dropped.
  *
- * <p>If the second connection can't be opened, or its start revision has been compacted, the watch breaks: the listener
- * receives {@link WatchEvent.Broken} once, as the last event, and reads the prefix again.
+ * <p>If the second connection cannot be opened, or its start revision has been compacted, the watch breaks: the
+ * listener receives {@link WatchEvent.Broken} once, as the last event, and reads the prefix again.
  *
  * <p>Runs on the I/O thread; events are delivered in order by the given executor.
  */
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/SharedWatchStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/SharedWatchStore.java
@@ -26,8 +26,8 @@
  * Key-value store whose watches the instances of a data centre share, see {@link WatchSharing}. All other calls are
  * forwarded to the underlying store.
  *
- * <p>A watch of a prefix that was not read completely beforehand is forwarded too: without the entries, peers' copies
- * can't be compared with anything.
+ * <p>A watch of a prefix that was not read completely beforehand is forwarded too: without the entries, the updates
+ * that peers send cannot be compared with them.
  */
 public final class SharedWatchStore extends ForwardingKeyValueStore {
     private static final KeyValueLog LOG = KeyValueLog.of(SharedWatchStore.class);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/StoreClient.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/StoreClient.java
@@ -22,7 +22,7 @@
  * budget, timeouts and the classification of failures; the callers define paths and bodies.
  *
  * <p>All connections and state are confined to one I/O thread of the worker. Results are completed on the worker's task
- * threads, so a slow callback can't block the client.
+ * threads, so a slow callback cannot block the client.
  */
 public final class StoreClient implements AutoCloseable {
     private static final KeyValueLog LOG = KeyValueLog.of(StoreClient.class);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/WatchSchedule.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/WatchSchedule.java
@@ -5,13 +5,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Schedules the ends of the waiting calls of one store's watches, and closes all watches if one of them loses its
+ * Schedules the ends of the long-polling calls of one store's watches, and closes all watches if one of them loses its
  * connection.
  *
- * <p>A waiting call shows only at its end whether its connection still works. The usual cause of silent connections, a
- * middlebox that loses its connection table, affects all connections at once. The calls therefore end in round-robin
- * order, evenly spread over a period, and one that ends without a response closes all watches; each is re-established
- * with a full read. A silent failure is thus detected within a fraction of a period, at the same number of calls.
+ * <p>A long-polling call reveals only at its end whether its connection still works. The usual cause of silent
+ * connections, a middlebox that loses its connection table, affects all connections at once. The calls therefore end in
+ * round-robin order, evenly spread over a period, and one that ends without a response closes all watches; each is
+ * re-established with a full read. A silent failure is thus detected within a fraction of a period, at the same number
+ * of calls.
  *
  * <p>Correctness: whenever connections go silent, each watch has a call waiting that ends by its next phase, or is
  * about to begin one; the phases of {@value #PHASES} watches are {@value #PERIOD_MS} / {@value #PHASES} ms apart.
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/HttpAttempt.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/HttpAttempt.java
@@ -27,11 +27,11 @@
  * cannot execute the request twice; if detected later, the target may have read the request, and the outcome is broken.
  *
  * <p>Correctness: a connection carries one exchange at a time and returns to the pool only after the request was sent
- * completely and its response was read completely and carried the request's id. After a failed, late, cancelled or
- * crossed exchange the connection is closed, so that the remainder of one response is never read as part of the next. A
- * response without framing (neither length nor chunks) cannot be distinguished from a truncated one and counts as
- * broken. A model engine's stream must also end with its end mark, since a crashing engine may still terminate its
- * chunked encoding properly.
+ * completely and its response was read completely and carried the request's id. After a failed, late or cancelled
+ * exchange, or a crossed one whose response carried another request's id, the connection is closed, so that the
+ * remainder of one response is never read as part of the next. A response without framing (neither length nor chunks)
+ * cannot be distinguished from a truncated one and counts as broken. A model engine's stream must also end with its end
+ * mark, since a crashing engine may still terminate its chunked encoding properly.
  *
  * <p>Progress timeout: the deadline restarts with each byte written or read. A model engine may send nothing while it
  * queues the request or generates a non-streaming response, so the state of the request is queried over a new
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/LoadReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/LoadReader.java
@@ -126,9 +126,8 @@
             return;
         }
         if (response.json().path("last").asLong(Long.MAX_VALUE) < watch.lastSequence) {
-            // The sequence has been reset, so the target has restarted. Without the reset here, its first events would
-            // be
-            // skipped as already seen.
+            // The sequence has been reset, so the target has restarted. Without the reset here, its first
+            // events would be skipped as already seen.
             connector.metrics().cacheEventRestarts.inc();
             watch.lastSequence = 0;
             return;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/RefusalRule.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/RefusalRule.java
@@ -9,7 +9,7 @@
 @FunctionalInterface
 public interface RefusalRule {
     /** @param headers header names are in lower case */
-    boolean saysNotStarted(int status, Map<String, String> headers, byte[] body);
+    boolean reportsNotStarted(int status, Map<String, String> headers, byte[] body);
 
     /** Whether a response with the status may be a rejection, so that it is buffered to its end. */
     default boolean mayRefuse(int status) {
@@ -28,10 +28,10 @@
     static RefusalRule explicit() {
         ObjectMapper json = new ObjectMapper();
         return (status, headers, body) ->
-                isOverload(status) && ("not-run".equals(headers.get("x-run")) || bodySaysNotStarted(json, body));
+                isOverload(status) && ("not-run".equals(headers.get("x-run")) || bodyReportsNotStarted(json, body));
     }
 
-    private static boolean bodySaysNotStarted(ObjectMapper json, byte[] body) {
+    private static boolean bodyReportsNotStarted(ObjectMapper json, byte[] body) {
         try {
             JsonNode response = json.readTree(body);
             JsonNode error = response.path("error");
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/ResponseReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/ResponseReader.java
@@ -141,7 +141,7 @@
         }
         if (deliveryMode == DeliveryMode.MAY_REFUSE
                 && !delivery.hasDelivered()
-                && protocol.refusals().saysNotStarted(status, headers, delivery.bufferedBytes())) {
+                && protocol.refusals().reportsNotStarted(status, headers, delivery.bufferedBytes())) {
             return Progress.NOT_STARTED;
         }
         if (isEngineShuttingDown()) {
@@ -175,7 +175,7 @@
         if (echoedId != null) {
             return !echoedId.equals(spec.requestId());
         }
-        return protocol.idRequired() && !protocol.refusals().saysNotStarted(status, headers, new byte[0]);
+        return protocol.idRequired() && !protocol.refusals().reportsNotStarted(status, headers, new byte[0]);
     }
 
     private DeliveryMode deliveryMode(AttemptSpec spec) {
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/ForwardServerTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/ForwardServerTest.java
@@ -91,12 +91,12 @@
     }
 
     /**
-     * An overloaded instance would forward a request only after its caller has disconnected. The caller is therefore
+     * A lagging instance would forward a request only after its caller has disconnected. The caller is therefore
      * rejected immediately with a short retry delay, and its connection is closed so that it chooses another instance.
      */
     @Test
     @Timeout(20)
-    void overloadedInstanceRejectsCallersAndClosesTheirConnections() throws IOException {
+    void laggingInstanceRejectsCallersAndClosesTheirConnections() throws IOException {
         decisionsLagMs.set(500);
         Caller refused = call();
         while (!refused.head().contains("retry-after: 100\n")) {
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/PersistentLagDetectorTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/PersistentLagDetectorTest.java
@@ -9,7 +9,7 @@
     private final PersistentLagDetector lag = new PersistentLagDetector();
 
     @Test
-    void instanceThatIsAlwaysLateIsBehind() {
+    void instanceThatIsAlwaysLateIsLagging() {
         late(400, 900, 70);
         assertTrue(lag.isPersistent());
     }
--- a/daemon/src/test/java/org/marjoramswitch/daemon/peer/PeerLinksTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/peer/PeerLinksTest.java
@@ -65,8 +65,8 @@
     @Test
     void aDisconnectedLinkIsReopened() throws Exception {
         // B has no capacity to accept a message from A and disconnects. Both ends must be notified that the link is
-        // down,
-        // so that both send their complete state over the next link, which A opens because it still wants the peer.
+        // down, so that both send their complete state over the next link, which A opens because it still wants the
+        // peer.
         PeerLinks a = start(A, 1, KEY, listenerA, metricsA);
         PeerLinks b = start(B, 1, KEY, listenerB, metricsB);
         a.setPeers(Map.of(B, address(b)));
@@ -85,9 +85,8 @@
     @Test
     void aPeerWithAnotherFleetKeyIsNotLinked() throws Exception {
         // B replies to the handshake with a proof made with another key. A closes the connection and counts it; once
-        // the
-        // peer has been unreachable for a second, A drops the queued message and reports the peer down. B's listener
-        // receives nothing.
+        // the peer has been unreachable for a second, A drops the queued message and reports the peer down. B's
+        // listener receives nothing.
         PeerLinks a = start(A, 1, KEY, listenerA, metricsA);
         PeerLinks b = start(B, 1, "another key", listenerB, metricsB);
         a.setPeers(Map.of(B, address(b)));
@@ -103,8 +102,8 @@
     @Test
     void aReflectedChallengeIsRejected() throws Exception {
         // An attacker without the key listens at B's address. It sends A's nonce to A on a second connection and
-        // replays
-        // A's reply as B's. A's proof contains A's id in the acceptor's position, so A must reject and count it.
+        // replays A's reply as B's. A's proof contains A's id in the acceptor's position, so A must reject and count
+        // it.
         PeerLinks a = start(A, 1, KEY, listenerA, metricsA);
         try (RawPeer attacker = new RawPeer()) {
             a.setPeers(Map.of(B, attacker.address()));
@@ -132,8 +131,7 @@
     @Test
     void aSilentPeerIsReportedDownAndANewLinkIsOpened() throws Exception {
         // B completes the handshake and then neither reads nor sends, while its connection stays open. After the
-        // silence
-        // timeout A must close it and report B down; a new link opens, and A's next message arrives.
+        // silence timeout A must close it and report B down; a new link opens, and A's next message arrives.
         PeerLinks a = start(A, 1, KEY, listenerA, metricsA);
         Member b = member(B, 1);
         try (RawPeer peer = new RawPeer()) {
@@ -186,8 +184,7 @@
     @Test
     void aRestartedPeerIsReportedWithItsNewIncarnation() throws Exception {
         // B is replaced by a new process without state at the same address. A loses the old link and, because it sent
-        // to
-        // B recently, opens a new one without a further message, which reports the new incarnation.
+        // to B recently, opens a new one without a further message, which reports the new incarnation.
         PeerLinks a = start(A, 1, KEY, listenerA, metricsA);
         PeerLinks b = start(B, 1, KEY, listenerB, metricsB);
         a.setPeers(Map.of(B, address(b)));
@@ -209,8 +206,7 @@
     @Test
     void simultaneousConnectsLeaveExactlyOneLink() throws Exception {
         // Both instances connect to each other at the same moment, in ten rounds. Each time both ends must keep the
-        // same
-        // connection, and messages arrive over it in both directions.
+        // same connection, and messages arrive over it in both directions.
         for (int round = 0; round < 10; round++) {
             MetricRegistry registryA = new MetricRegistry();
             MetricRegistry registryB = new MetricRegistry();
