--- a/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/ForwardingDaemon.java
@@ -112,8 +112,8 @@
      * @param targetPrefix the key prefix under which targets register themselves
      * @param additionalListeners the addresses other than the callers', each with its handler
      * @param reload rereads the settings file
-     * @param stopAcceptingMs how long requests are still accepted after a graceful shutdown begins, because callers cache addresses for the lifetime that
-     *     their response states
+     * @param stopAcceptingMs how long requests are still accepted after a graceful shutdown begins, because callers
+     *     cache addresses for the lifetime that the address response states
      */
     public record Platform(
             Function<StoreContext, KeyValueStore> store,
@@ -146,7 +146,7 @@
     }
 
     /**
-     * Starts an instance; it is ready once settings are in force.
+     * Starts an instance; it is ready once settings are active.
      *
      * @throws RuntimeException if the instance cannot start; caused by a {@link java.net.BindException} if one of its
      *     addresses cannot be bound
--- a/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
@@ -232,7 +232,7 @@
         }
     }
 
-    /** Announces to peers the generation of settings in force on this instance. */
+    /** Announces to peers the generation of settings that is active on this instance. */
     void announceGeneration(long newGeneration) {
         generation = newGeneration;
         MembershipLoop current = membership;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/SettingsGossip.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/SettingsGossip.java
@@ -36,9 +36,9 @@
  */
 final class SettingsGossip {
     /**
-     * Large enough for all instances that selected this one as a partner, three on average. If one of them is evicted
-     * and no other instance selected it, it receives a change only through its own periodic announcements: after
-     * seconds instead of milliseconds.
+     * Large enough for all instances that selected this one as a partner, three on average. An evicted instance
+     * that no other instance selected receives a change only through its own periodic announcements: after seconds
+     * instead of milliseconds.
      */
     private static final int MAX_RECENT_PEERS = 24;
 
@@ -78,7 +78,7 @@
         recentPeers.retainAll(view.members().keySet());
         generationByPeer.keySet().retainAll(view.members().keySet());
         if (activeSettings.generation() == 0) {
-            queryIfBehind(nowMs);
+            queryIfOutdated(nowMs);
         }
     }
 
@@ -86,7 +86,7 @@
     void onAnnounced(InstanceId peer, long generation, long nowMs) {
         generationByPeer.merge(peer, generation, Math::max);
         activeSettings.noteAnnounced(generation);
-        queryIfBehind(nowMs);
+        queryIfOutdated(nowMs);
     }
 
     void onHead(InstanceId from, PeerMessage.SettingsHead head, long nowMs) {
@@ -101,7 +101,7 @@
             acceptors.forEach(acceptor -> peers.send(acceptor, head));
         }
         generationByPeer.merge(from, head.generation(), Math::max);
-        queryIfBehind(nowMs);
+        queryIfOutdated(nowMs);
     }
 
     void onQuery(InstanceId from, PeerMessage.SettingsQuery received) {
@@ -119,10 +119,10 @@
 
     void onBodies(InstanceId from, PeerMessage.SettingsBodies bodies, long nowMs) {
         generationByPeer.merge(from, bodies.generation(), Math::max);
-        boolean answersQuery = query != null && query.peer().equals(from);
+        boolean isReply = query != null && query.peer().equals(from);
         GenerationHolder.Result result =
                 activeSettings.adopt(bodies.generation(), bodies.digest(), bodies.bodyByTeam(), from.toString());
-        if (!answersQuery) {
+        if (!isReply) {
             return;
         }
         boolean queriedAll = query != null && query.afterGeneration() == 0;
@@ -133,20 +133,20 @@
             send(from, 0, nowMs);
             return;
         }
-        queryIfBehind(nowMs);
+        queryIfOutdated(nowMs);
     }
 
     void tick(long nowMs) {
         if (query != null && query.timeoutAtMs() <= nowMs) {
             generationByPeer.remove(query.peer());
             query = null;
-            queryIfBehind(nowMs);
+            queryIfOutdated(nowMs);
         }
         if (nowMs < announceAtMs) {
             return;
         }
         announceAtMs = nowMs + jittered(options.announceMs());
-        queryIfBehind(nowMs);
+        queryIfOutdated(nowMs);
         List<InstanceId> gossipPeers = gossipPeers();
         if (!gossipPeers.isEmpty()) {
             peers.send(gossipPeers.get(random.nextInt(gossipPeers.size())), head());
@@ -161,7 +161,7 @@
      * Sends a query if this instance has no settings or a newer generation is known, and no query is outstanding. The
      * peer is one that is known to hold a newer generation, or else any gossip peer.
      */
-    private void queryIfBehind(long nowMs) {
+    private void queryIfOutdated(long nowMs) {
         long held = activeSettings.generation();
         if (query != null || (held > 0 && activeSettings.highestSeen() <= held)) {
             return;
@@ -183,7 +183,7 @@
         gossipPeers().forEach(peer -> peers.send(peer, head()));
     }
 
-    /** A random time between half and one and a half times the given one; desynchronises instances started together. */
+    /** A random time between half and one and a half times the given one; desynchronizes instances started together. */
     private long jittered(long timeMs) {
         return timeMs / 2 + random.nextLong(timeMs);
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/membership/MembershipLoop.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/membership/MembershipLoop.java
@@ -40,9 +40,9 @@
  * Runs the failure detector on one thread with one UDP socket, at the same host and port number as the TCP address for
  * peers.
  *
- * <p>Updates from other threads (a list of instances, a generation, leaving) replace the previous one of their kind and
- * are not queued. Only hints of lost links are queued, in a small ring; if it is full, the hint is dropped and counted,
- * because every member is probed periodically anyway.
+ * <p>Updates from other threads (a list of instances, a generation, the start of draining) replace the previous one of
+ * their kind and are not queued. Only hints of lost links are queued, in a small ring; if it is full, the hint is
+ * dropped and counted, because every member is probed periodically anyway.
  */
 public final class MembershipLoop implements AutoCloseable {
     private static final KeyValueLog LOG = KeyValueLog.of(MembershipLoop.class);
@@ -138,7 +138,7 @@
         return addresses;
     }
 
-    /** The generation of settings that each member last announced as in force. */
+    /** The generation of settings that each member last announced as active. */
     public Map<InstanceId, Long> generations() {
         return generations;
     }
@@ -148,7 +148,7 @@
         pendingList.set(Map.copyOf(instances));
     }
 
-    /** Announces the generation of settings in force on this instance; an older one is ignored. */
+    /** Announces the generation of settings that is active on this instance; an older one is ignored. */
     public void announceGeneration(long newGeneration) {
         generation.accumulateAndGet(newGeneration, Math::max);
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerLinks.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/peer/PeerLinks.java
@@ -373,8 +373,8 @@
             flushDueMs = Math.min(flushDueMs, nowMs + options.lingerMs());
             route = scheduled.poll();
         }
-        boolean prompt = flushRequested.getAndSet(false);
-        if (!prompt && nowMs < flushDueMs) {
+        boolean flushNow = flushRequested.getAndSet(false);
+        if (!flushNow && nowMs < flushDueMs) {
             return;
         }
         flushDueMs = Long.MAX_VALUE;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/FleetListParser.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/FleetListParser.java
@@ -24,7 +24,7 @@
  * {@code state}, {@code list/targets/<id>} holds {@code state}; a state is {@code live} or {@code leaving}. {@code
  * list/crashes/<digest>} holds {@code ends}, each with {@code target} and {@code atMs}.
  *
- * <p>A malformed entry is ignored: the previous state of that instance or target stays in force, so that a typing error
+ * <p>A malformed entry is ignored: the previous state of that instance or target remains in use, so that a typing error
  * neither removes an instance from the fleet nor makes a draining target live again.
  */
 final class FleetListParser {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/FleetListReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/FleetListReader.java
@@ -14,7 +14,7 @@
  *
  * <p>Reads the list once and then watches it; a watch reports changes immediately and transfers changes only, whereas
  * polling would transfer the complete list each time. When the watch breaks, the list is read again. While the store
- * does not respond, the last list stays in force.
+ * does not respond, the last list remains in use.
  */
 public final class FleetListReader implements AutoCloseable {
     /** Default pause between two reads, and after a failed one. */
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/PrefixFollower.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/PrefixFollower.java
@@ -18,7 +18,7 @@
 /**
  * Follows the entries of one prefix: reads them once and then watches them. A watch reports changes immediately and
  * transfers changes only, whereas polling would transfer all entries each time. While the store does not respond, the
- * last entries stay in force.
+ * last entries remain in use.
  *
  * <p>When the watch breaks, the prefix is read again immediately, because changes before the break may have been
  * missed. If the last read failed or is more recent than the pause, the pause elapses first, so that a store that
--- a/daemon/src/main/java/org/marjoramswitch/daemon/route/Route.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/route/Route.java
@@ -11,7 +11,7 @@
  * @param shares the pools that serve the route, each with its weight
  * @param attempts the maximum number of attempts per request
  * @param timeoutMs the caller's timeout if the request specifies none
- * @param objectiveMs the latency objective: the time within which a response, or its first event, has its full value
+ * @param objectiveMs the latency objective: the maximum time to a response, or to its first event, that is on time
  * @param pauseMs the maximum pause between the events of a response that is on time; 0 if it has no events
  * @param priority 0 is the most urgent
  * @param open whether callers need no API key
