--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/LoadReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/LoadReader.java
@@ -48,8 +48,9 @@
         this.clockMs = clockMs;
         this.targets = targets;
         this.events = events;
-        this.pollTimer =
-                connector.anyThread().executeAtInterval(this::queryAll, options.loadEveryMs(), TimeUnit.MILLISECONDS);
+        this.pollTimer = connector
+                .anyThread()
+                .executeAtInterval(this::queryAll, options.loadIntervalMs(), TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -97,7 +98,7 @@
         }
         if (!watch.eventsPending && nowMs >= watch.eventsDueMs) {
             watch.eventsPending = true;
-            watch.eventsDueMs = nowMs + options.cacheEventsEveryMs();
+            watch.eventsDueMs = nowMs + options.cacheEventsIntervalMs();
             String path = CACHE_EVENTS_PATH + watch.lastSequence;
             TargetQuery.send(
                     connector, watch.target, path, options.timeoutMs(), response -> onCacheEvents(watch, response));
@@ -125,9 +126,8 @@
             return;
         }
         if (response.json().path("last").asLong(Long.MAX_VALUE) < watch.lastSequence) {
-            // The sequence has been reset, so the target has restarted. Without the reset here, its first events would
-            // be
-            // skipped as already seen.
+            // The sequence has been reset, so the target has restarted. Without the reset here, its first
+            // events would be skipped as already seen.
             connector.metrics().cacheEventRestarts.inc();
             watch.lastSequence = 0;
             return;
--- a/tool/src/test/java/org/marjoramswitch/tool/settings/SettingsWriterTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/settings/SettingsWriterTest.java
@@ -166,9 +166,8 @@
         assertEquals("other", storedChangeId());
     }
 
-    // The response is lost and the store becomes unavailable before the tool can read back. Reporting either "written"
-    // or
-    // "not written" would be unfounded.
+    // The response is lost and the store becomes unavailable before the tool can read back. Reporting
+    // either "written" or "not written" would be unfounded.
     @Test
     void reportsUnknownIfTheStoreStaysUnavailable() throws Exception {
         FaultyStore store = new FaultyStore(connection.store(), call -> {
