--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/Bench.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/Bench.java
@@ -76,8 +76,8 @@
     }
 
     /**
-     * Adds to the result of a flood case the ratios to the result without the flood of the same policy and shape, if that
-     * case was run before.
+     * Adds to the result of a flood case the ratios to the result without the flood of the same policy and shape, if
+     * that case was run before.
      */
     private static BenchResult compareWithoutFlood(BenchResult result, List<BenchResult> previous) {
         if (!result.caseName().endsWith("_flood")) {
--- a/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchCases.java
+++ b/testkit/src/main/java/org/marjoramswitch/testkit/bench/BenchCases.java
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Constant load per instance: a tenth of the customers is backlogged, each of the others demands an equal part of 60%
-     * of the capacity.
+     * Constant load per instance: a tenth of the customers is backlogged, each of the others demands an equal part of
+     * 60% of the capacity.
      */
     static BenchCase scale(int instances) {
         BenchShape shape = BenchShape.scaled(instances);
