--- a/daemon/src/main/java/org/marjoramswitch/daemon/Daemon.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/Daemon.java
@@ -10,7 +10,7 @@
 import org.marjoramswitch.daemon.caller.Claims;
 import org.marjoramswitch.daemon.caller.Health;
 import org.marjoramswitch.daemon.caller.RequestKeys;
-import org.marjoramswitch.daemon.configuration.ConfigurationDuty;
+import org.marjoramswitch.daemon.configuration.ConfigurationLoop;
 import org.marjoramswitch.daemon.configuration.ConfigurationOptions;
 import org.marjoramswitch.daemon.core.KernelStatus;
 import org.marjoramswitch.daemon.exchange.TargetClient;
@@ -35,40 +35,40 @@
 import org.xnio.XnioWorker;
 
 /**
- * One instance of the product with all its duties joined.
+ * One instance of the router with all its components.
  *
- * <p>Everything hangs on the deciding duty: callers, peers, targets and the platform's service feed it events, and it
- * has its decisions carried out by them. The duties start from the inside out, so that none speaks before what it
- * speaks to is there, and close in the reverse order.
+ * <p>The decision loop is central: callers, peers, targets and the key-value store feed it events and carry out its
+ * decisions. Components start in dependency order, so that each finds the components it uses running, and close in the
+ * reverse order.
  */
 public final class Daemon extends BaseInstance {
-    /** The settings' schema allows no pool a longer wait for a target. */
-    private static final long LONGEST_WAIT_MS = 300_000;
+    /** The longest wait for a target that the settings schema allows for a pool. */
+    private static final long MAX_WAIT_MS = 300_000;
 
     private final LocalSettings settings;
-    private final Parts parts;
+    private final StartedComponents components;
     private final InstanceCore core;
-    private final ConfigurationDuty configuration;
+    private final ConfigurationLoop configuration;
     private final CallerServer callers;
     private @Nullable UndertowTargetClient targets;
     private volatile FleetSettings fleetSettings = FleetSettings.NONE;
 
-    private Daemon(LocalSettings settings, Parts parts) throws IOException {
+    private Daemon(LocalSettings settings, StartedComponents components) throws IOException {
         this.settings = settings;
-        this.parts = parts;
+        this.components = components;
         CallerOptions callerOptions =
                 CallerOptions.builder().maxBodyBytes(settings.maxBodyBytes()).build();
         KernelOptions options = KernelOptions.defaults().withMaxWaiting(settings.maxWaiting());
         this.core = InstanceCore.start(
                 settings,
-                parts,
+                components,
                 options,
                 this::startTargets,
                 callerOptions.times().addressKeepMs());
         EtcdGatewayStore store = startStore();
-        core.keepCrashesIn(store);
+        core.persistCrashesIn(store);
         startLoadReader();
-        this.configuration = parts.add(ConfigurationDuty.start(
+        this.configuration = components.add(ConfigurationLoop.start(
                 core.self(), store, core.peers(), this::onSettings, ConfigurationOptions.DEFAULT, core.metrics()));
         RequestKeys keys = RequestKeys.create(
                 core.self(), callerOptions, core.peers(), core.directory(), core.clock(), System::currentTimeMillis);
@@ -78,20 +78,20 @@
                 configuration::onMessage,
                 keys::onMessage,
                 configuration::onView,
-                seen -> configuration.generationSeen(seen.instance(), seen.generation()));
-        parts.add(FleetListReader.start(
+                seen -> configuration.onGenerationAnnounced(seen.instance(), seen.generation()));
+        components.add(FleetListReader.start(
                 store, FleetListReader.DEFAULT_PERIOD_MS, core.clock().startMs(), core.metrics(), core::onList));
     }
 
     /**
      * Starts an instance; it is ready once it has accepted settings.
      *
-     * @throws RuntimeException where it cannot start, caused by a {@link java.net.BindException} where one of its
+     * @throws RuntimeException if the instance cannot start; caused by a {@link java.net.BindException} if one of its
      *     addresses cannot be bound
      */
     public static Daemon start(LocalSettings settings) {
-        return Parts.start(parts -> {
-            Daemon daemon = new Daemon(settings, parts);
+        return StartedComponents.start(components -> {
+            Daemon daemon = new Daemon(settings, components);
             daemon.core.logStarted(daemon.callersAddress());
             return daemon;
         });
@@ -99,24 +99,24 @@
 
     private TargetClient startTargets(XnioWorker worker, MetricRegistry metrics) {
         UndertowTargetClient started =
-                parts.add(UndertowTargetClient.start(worker, TargetClientOptions.defaults(), metrics));
+                components.add(UndertowTargetClient.start(worker, TargetClientOptions.defaults(), metrics));
         targets = started;
         return started;
     }
 
     private EtcdGatewayStore startStore() {
         KeyValueOptions options = KeyValueOptions.of(settings.instance().name().hashCode());
-        return parts.add(EtcdGatewayStore.start(settings.platform(), options, core.worker(), core.metrics()));
+        return components.add(EtcdGatewayStore.start(settings.platform(), options, core.worker(), core.metrics()));
     }
 
     private void startLoadReader() {
         UndertowTargetClient client = Objects.requireNonNull(targets);
-        parts.add(LoadReader.start(
+        components.add(LoadReader.start(
                 client, LoadReaderOptions.defaults(), core.clock(), this::arbitratedEngines, core.decisions()::offer));
     }
 
     private Claims startClaims(EtcdGatewayStore store) {
-        ClaimStore claims = parts.add(ClaimStore.start(
+        ClaimStore claims = components.add(ClaimStore.start(
                 store,
                 store,
                 ClaimOptions.defaults(),
@@ -124,11 +124,11 @@
                 core.self().incarnation(),
                 core.metrics(),
                 core.clock()));
-        return PlatformClaims.of(claims, LONGEST_WAIT_MS, core.clock());
+        return PlatformClaims.of(claims, MAX_WAIT_MS, core.clock());
     }
 
     private CallerServer startCallers(CallerOptions options, RequestKeys keys, Claims claims) {
-        return parts.add(CallerServer.start(
+        return components.add(CallerServer.start(
                 settings.callers(),
                 options,
                 core.decisions(),
@@ -147,7 +147,7 @@
         core.decisions().offer(new Event.SettingsAccepted(accepted));
     }
 
-    /** The engines whose load matters here; plain services report none. */
+    /** The model engines that this instance arbitrates; plain services report no load. */
     private List<TargetSettings> arbitratedEngines() {
         FleetSettings current = fleetSettings;
         return status().arbitratedTargets().stream()
@@ -159,27 +159,27 @@
         return pool != null && pool.kind() == TargetKind.MODEL_ENGINE;
     }
 
-    /** Where callers connect; tells the port where port 0 was asked for. */
+    /** The address that callers connect to, with the actual port if the configured port is 0. */
     public HostPort callersAddress() {
         return callers.boundAddress();
     }
 
-    /** Where peers connect; tells the port where port 0 was asked for. */
+    /** The address that peers connect to, with the actual port if the configured port is 0. */
     public HostPort peersAddress() {
         return core.peersAddress();
     }
 
-    /** True while the instance takes new requests. */
-    public boolean ready() {
+    /** Whether the instance accepts new requests. */
+    public boolean isReady() {
         return health().ready();
     }
 
-    /** How many instances this one knows to be there and not leaving, itself included. */
+    /** Number of known instances that are alive and not draining, including this one. */
     public int reachableInstances() {
         return core.directory().eligible().size();
     }
 
-    /** What the kernel was about some milliseconds ago. */
+    /** A snapshot of the kernel's state, which may be some milliseconds old. */
     public KernelStatus status() {
         return core.kernel().status();
     }
@@ -189,24 +189,24 @@
     }
 
     private Health health() {
-        if (core.drainState().begun()) {
+        if (core.drainState().hasBegun()) {
             return Health.notReady("the instance is leaving");
         }
         return fleetSettings.generation() == 0 ? Health.notReady("no accepted settings yet") : Health.READY;
     }
 
-    /** The instance says that it leaves, refuses new requests and finishes the ones that it has. */
+    /** Announces that the instance is draining, rejects new requests and finishes the open ones. */
     @Override
     public void drain() {
         if (core.leave()) {
-            core.finish();
+            core.finishDrain();
         }
     }
 
-    /** The file holds addresses and names, which are the instance's for its whole life. */
+    /** Only logs: the file holds addresses and names, which are fixed for the lifetime of the instance. */
     @Override
     public void reload() {
-        core.logReload("kept", "the file is read at the start only");
+        core.logReload("kept", "the settings file is read only at startup");
     }
 
     @Override
--- a/daemon/src/main/java/org/marjoramswitch/daemon/LatePeerSender.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/DeferredPeerSender.java
@@ -7,10 +7,11 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * Stands for the links in the duties that the links themselves depend on. What is sent before the links are there is
- * dropped, as it is for a peer without a link; a link that comes up registers anew.
+ * Forwards messages to the peer links once they have started; used by the components that the links depend on. Messages
+ * sent earlier are dropped, as for a peer without a link, because the instance registers again over each link that
+ * comes up.
  */
-final class LatePeerSender implements PeerSender {
+final class DeferredPeerSender implements PeerSender {
     private volatile @Nullable PeerLinks links;
 
     void setLinks(PeerLinks started) {
@@ -25,11 +26,11 @@
         }
     }
 
-    /** Breaks the link to a peer; it comes up again by itself. */
-    void cut(InstanceId peer) {
+    /** Closes the link to a peer; it is reopened automatically. */
+    void disconnect(InstanceId peer) {
         PeerLinks current = links;
         if (current != null) {
-            current.cut(peer);
+            current.disconnect(peer);
         }
     }
 }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/InstanceCore.java
@@ -11,16 +11,16 @@
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
-import org.marjoramswitch.daemon.core.DecisionDuty;
+import org.marjoramswitch.daemon.core.DecisionLoop;
 import org.marjoramswitch.daemon.core.EventObserver;
 import org.marjoramswitch.daemon.core.EventRecorder;
 import org.marjoramswitch.daemon.core.KernelDriver;
 import org.marjoramswitch.daemon.exchange.TargetClient;
-import org.marjoramswitch.daemon.fleet.CrashStore;
 import org.marjoramswitch.daemon.fleet.CustomerSpread;
 import org.marjoramswitch.daemon.fleet.FleetDirectory;
+import org.marjoramswitch.daemon.fleet.PoisonRequestStore;
 import org.marjoramswitch.daemon.log.KeyValueLog;
-import org.marjoramswitch.daemon.membership.MembershipDuty;
+import org.marjoramswitch.daemon.membership.MembershipLoop;
 import org.marjoramswitch.daemon.peer.PeerLinks;
 import org.marjoramswitch.daemon.platform.FleetList;
 import org.marjoramswitch.daemon.platform.KeyValueStore;
@@ -44,96 +44,105 @@
 import org.xnio.XnioWorker;
 
 /**
- * What every instance is made of, whatever its settings and callers come from: the deciding duty, the links and the
- * membership among instances, and the graceful shutdown. An assembly starts the core, then its own duties, and calls
- * {@link #join} once they can take what peers say.
+ * The components common to all kinds of instances: the decision loop, the peer links, the membership loop and the
+ * graceful shutdown. A concrete instance starts the core, then its own components, and calls {@link #join} once these
+ * can process peer messages.
  */
 final class InstanceCore implements StoreContext {
     private static final int IO_THREADS = 2;
     private static final int TASK_THREADS = 2;
-    /** Counted by whatever serves the callers. */
+    /** Counter maintained by the server for callers. */
     private static final String OPEN_CALLS = "caller.open_requests";
 
     private static final KeyValueLog LOG = KeyValueLog.of(InstanceCore.class);
 
     private final LocalSettings settings;
-    private final Parts parts;
+    private final StartedComponents components;
     private final InstanceClock clock = InstanceClock.start();
     private final MetricRegistry metrics = new MetricRegistry();
-    private final LatePeerSender peers = new LatePeerSender();
+    private final DeferredPeerSender peers = new DeferredPeerSender();
     private final Member self;
     private final XnioWorker worker;
     private final KernelDriver kernel;
-    private final DecisionDuty decisions;
+    private final DecisionLoop decisions;
     private final FleetDirectory directory;
     private final Drain drain;
     private volatile @Nullable PeerLinks links;
-    /** Null only while the instance starts: the duties that tell it something are there before it. */
-    private volatile @Nullable MembershipDuty membership;
+    /** Null only during the start: components that send it updates start before it. */
+    private volatile @Nullable MembershipLoop membership;
 
-    private volatile Consumer<FleetView> onView = view -> {};
-    /** Null only while the instance starts: it has sent no request yet. */
-    private volatile @Nullable CrashStore crashStore;
+    private volatile Consumer<FleetView> viewListener = view -> {};
+    /** Null only during the start, before any request is sent to a target. */
+    private volatile @Nullable PoisonRequestStore crashStore;
 
     private volatile long generation;
 
     private InstanceCore(
-            LocalSettings settings, Parts parts, KernelOptions options, Targets targets, long addressKeepMs)
+            LocalSettings settings,
+            StartedComponents components,
+            KernelOptions options,
+            TargetClientFactory targetClients,
+            long addressKeepMs)
             throws IOException {
         this.settings = settings;
-        this.parts = parts;
+        this.components = components;
         this.self = Member.of(settings.instance(), clock.startMs(), settings.dataCentre(), false)
                 .withProcessor(settings.processorMillicores());
         ProcessMetrics.register(metrics, settings.processorMillicores());
         this.worker = startWorker();
         this.kernel = KernelDriver.of(InstanceKernel.create(self, options));
-        this.decisions = parts.add(DecisionDuty.builder(kernel, clock, settings.maxWaiting(), metrics)
+        this.decisions = components.add(DecisionLoop.builder(kernel, clock, settings.maxWaiting(), metrics)
                 .peers(peers)
-                .targets(targets.start(worker, metrics))
-                .observer(recorder(RecordingHeader.of(self, options)))
-                .linkCutter(peers::cut)
-                .crashKeeper(this::keepCrashes)
+                .targets(targetClients.start(worker, metrics))
+                .observer(startRecorder(RecordingHeader.of(self, options)))
+                .linkCutter(peers::disconnect)
+                .crashKeeper(this::persistCrashes)
                 .start());
-        this.directory = directory(addressKeepMs);
-        this.drain = parts.add(
-                Drain.of(() -> decisions.drained().isDone() && noCallIsOpen(), clock, settings.drainDeadlineMs()));
+        this.directory = createDirectory(addressKeepMs);
+        this.drain = components.add(
+                Drain.of(() -> decisions.drained().isDone() && hasNoOpenCalls(), clock, settings.drainDeadlineMs()));
     }
 
-    /** Starts the client of the targets. */
+    /** Starts the client for targets. */
     @FunctionalInterface
-    interface Targets {
+    interface TargetClientFactory {
         TargetClient start(XnioWorker worker, MetricRegistry metrics);
     }
 
-    /** @param addressKeepMs how long callers may use an address answer */
+    /** @param addressKeepMs how long callers may keep using an address they were given */
     static InstanceCore start(
-            LocalSettings settings, Parts parts, KernelOptions options, Targets targets, long addressKeepMs)
+            LocalSettings settings,
+            StartedComponents components,
+            KernelOptions options,
+            TargetClientFactory targetClients,
+            long addressKeepMs)
             throws IOException {
-        return new InstanceCore(settings, parts, options, targets, addressKeepMs);
+        return new InstanceCore(settings, components, options, targetClients, addressKeepMs);
     }
 
     /**
-     * Opens the links to peers and takes part in the membership.
+     * Starts the peer links and the membership loop.
      *
-     * @param messages takes a peer's message that is not about decisions; false for one that is
-     * @param views told of each new view, after the decisions were
-     * @param generationsSeen told of an instance that holds newer settings
+     * @param messages processes a peer message that is not for the decision loop; returns false for any other
+     * @param views receives each new view, after the decision loop
+     * @param generationsSeen notified of an instance that has newer settings
      */
     void join(
             BiPredicate<InstanceId, PeerMessage> messages,
-            PeerRouter.Keys keys,
+            PeerRouter.KeyMessageHandler keys,
             Consumer<FleetView> views,
             Consumer<GenerationSeen> generationsSeen)
             throws IOException {
-        onView = views;
+        viewListener = views;
         PeerRouter router = PeerRouter.of(directory, decisions, messages, keys, this::onLinkLost);
-        PeerLinks started = parts.add(PeerLinks.start(self, settings.peers(), settings.fleetKey(), router, metrics));
+        PeerLinks started =
+                components.add(PeerLinks.start(self, settings.peers(), settings.fleetKey(), router, metrics));
         links = started;
         peers.setLinks(started);
-        MembershipDuty joined = parts.add(MembershipDuty.start(
+        MembershipLoop joined = components.add(MembershipLoop.start(
                 self, peersAddress(), settings.fleetKey(), this::onMembers, generationsSeen, metrics));
         membership = joined;
-        // What the other duties told before there was a membership is made up for.
+        // Applies the updates that arrived before the membership loop started.
         joined.announceGeneration(generation);
         started.setPeers(joined.addresses());
     }
@@ -185,7 +194,7 @@
         return kernel;
     }
 
-    DecisionDuty decisions() {
+    DecisionLoop decisions() {
         return decisions;
     }
 
@@ -193,7 +202,7 @@
         return directory;
     }
 
-    LatePeerSender peers() {
+    DeferredPeerSender peers() {
         return peers;
     }
 
@@ -209,29 +218,30 @@
         return HostPort.of(settings.peers().host(), port);
     }
 
-    /** From now on what is held against blocked requests is kept in the platform's service. */
-    void keepCrashesIn(KeyValueStore store) {
-        CrashStore.Delay delay = (delayMs, task) -> worker.getIoThread().executeAfter(task, delayMs, MILLISECONDS);
-        crashStore = CrashStore.of(store, decisions, System::currentTimeMillis, delay);
+    /** Persists the crash counts of poison requests in the key-value store from now on. */
+    void persistCrashesIn(KeyValueStore store) {
+        PoisonRequestStore.Delay delay =
+                (delayMs, task) -> worker.getIoThread().executeAfter(task, delayMs, MILLISECONDS);
+        crashStore = PoisonRequestStore.of(store, decisions, System::currentTimeMillis, delay);
     }
 
-    private void keepCrashes(Action.KeepCrashes kept) {
-        CrashStore current = crashStore;
+    private void persistCrashes(Action.KeepCrashes kept) {
+        PoisonRequestStore current = crashStore;
         if (current != null) {
-            current.keep(kept);
+            current.save(kept);
         }
     }
 
-    /** This generation of settings is in force here. */
+    /** Announces to peers the generation of settings in force on this instance. */
     void announceGeneration(long newGeneration) {
         generation = newGeneration;
-        MembershipDuty current = membership;
+        MembershipLoop current = membership;
         if (current != null) {
             current.announceGeneration(newGeneration);
         }
     }
 
-    /** The platform's list of instances was read. */
+    /** Applies a newly read list of instances, draining targets and crashes. */
     void onList(FleetList list) {
         Map<InstanceId, ListedInstance> instances = new TreeMap<>();
         list.instances()
@@ -242,19 +252,19 @@
                                         instance.peers().host(),
                                         instance.peers().port()),
                                 instance.dataCentre())));
-        MembershipDuty current = membership;
+        MembershipLoop current = membership;
         if (current != null) {
             current.listRead(instances);
         }
         directory.setListed(list.instances());
         decisions.offer(new Event.TargetsLeaving(new TreeSet<>(list.leavingTargets())));
-        CrashStore crashes = crashStore;
+        PoisonRequestStore crashes = crashStore;
         if (crashes != null) {
-            crashes.listed(list.crashes());
+            crashes.onListRead(list.crashes());
         }
     }
 
-    /** Tells the peers that this instance leaves; false where it had been told before. */
+    /** Announces to peers that this instance is draining; false if it already was. */
     boolean leave() {
         if (!drain.begin()) {
             return false;
@@ -265,17 +275,17 @@
                 self.id(),
                 "openRequests",
                 kernel.status().openRequests());
-        MembershipDuty current = membership;
+        MembershipLoop current = membership;
         if (current != null) {
             current.leave();
         }
         return true;
     }
 
-    /** Refuses new requests from now on and waits for the end of the others. */
-    void finish() {
+    /** Rejects new requests from now on and starts waiting for the open ones to end. */
+    void finishDrain() {
         decisions.offer(new Event.DrainStarted());
-        drain.watch();
+        drain.startWaiting();
     }
 
     void close() {
@@ -286,7 +296,7 @@
                 "openRequests",
                 kernel.status().openRequests());
         decisions.close();
-        parts.close();
+        components.close();
     }
 
     private XnioWorker startWorker() throws IOException {
@@ -298,20 +308,20 @@
                         .set(Options.WORKER_TASK_MAX_THREADS, TASK_THREADS)
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
-        return parts.add(started, started::shutdownNow);
+        return components.add(started, started::shutdownNow);
     }
 
-    private EventObserver recorder(RecordingHeader header) throws IOException {
+    private EventObserver startRecorder(RecordingHeader header) throws IOException {
         String file = settings.recordFile();
-        return file == null ? EventObserver.NONE : parts.add(EventRecorder.start(Path.of(file), header));
+        return file == null ? EventObserver.NONE : components.add(EventRecorder.start(Path.of(file), header));
     }
 
-    /** The decisions may be through with a request whose answer the caller still reads. */
-    private boolean noCallIsOpen() {
+    /** The decision loop may have finished a request whose response the caller is still reading. */
+    private boolean hasNoOpenCalls() {
         return metrics.counter(OPEN_CALLS).getCount() == 0;
     }
 
-    private FleetDirectory directory(long addressKeepMs) {
+    private FleetDirectory createDirectory(long addressKeepMs) {
         CustomerSpread spread = CustomerSpread.of(self.id(), decisions::openRequests, addressKeepMs);
         return FleetDirectory.of(
                 self,
@@ -322,11 +332,11 @@
 
     private void onView(FleetView view) {
         decisions.offer(new Event.ViewChanged(view));
-        onView.accept(view);
+        viewListener.accept(view);
     }
 
     private void onMembers(FleetView members) {
-        MembershipDuty current = membership;
+        MembershipLoop current = membership;
         PeerLinks opened = links;
         if (current != null && opened != null) {
             opened.setPeers(current.addresses());
@@ -335,7 +345,7 @@
     }
 
     private void onLinkLost(InstanceId peer) {
-        MembershipDuty current = membership;
+        MembershipLoop current = membership;
         if (current != null) {
             current.linkLost(peer);
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
@@ -72,10 +72,7 @@
         String keyText = call.headers().requestKey();
         RequestKey key = keyText == null ? null : RequestKey.parse(keyText);
         if (keyText != null && (key == null || RequestKeys.isReserved(key))) {
-            refuse(
-                    caller,
-                    call,
-                    Failure.notRun(ErrorType.MALFORMED_REQUEST, 0, "header Request-Key is not a valid request key"));
+            refuse(caller, call, Failure.notRun(ErrorType.MALFORMED_REQUEST, 0, "header Request-Key is no key"));
             return;
         }
         if (call.needsClaim()) {
@@ -105,8 +102,7 @@
         String keyHash = Sha256.hex(Objects.requireNonNull(call.headers().idempotencyKey()));
         CompletableFuture<?> unused = claims.claim(call.customer(), keyHash, claimed.toString())
                 .whenComplete((result, error) -> {
-                    Claims.Result known =
-                            error == null ? result : new Claims.Result.NotClaimed("the claim failed unexpectedly");
+                    Claims.Result known = error == null ? result : new Claims.Result.NotClaimed("a fault");
                     caller.onIoThread(() -> onClaim(caller, call, claimed, requestId, known));
                 });
     }
@@ -117,8 +113,8 @@
         } else if (result instanceof Claims.Result.HeldBy held) {
             followHolder(caller, call, claimed, requestId, held.requestKey());
         } else {
-            // The claim may still have taken effect. Marked dead, the request key never runs, and a retry that finds it
-            // learns so.
+            // The claim may still have taken effect. The request key is marked dead so that it never runs and a retry
+            // that finds the claim learns it.
             Failure failure = Failure.notRun(
                     ErrorType.CLAIM_UNAVAILABLE, CLAIM_RETRY_AFTER_MS, ((Claims.Result.NotClaimed) result).reason());
             refuse(caller, call, keys.refuse(call.customer(), claimed.toString(), failure));
@@ -153,8 +149,7 @@
     /** A holder that did not run releases its claim, so a later attempt may claim the caller's key. */
     private void rejectForHolder(CallerExchange caller, Call call, HomeQueryResult result) {
         Failure failure = result instanceof HomeQueryResult.NotRun
-                ? Failure.notRun(
-                        ErrorType.CLAIM_UNAVAILABLE, CLAIM_RETRY_AFTER_MS, "the request that holds the key did not run")
+                ? Failure.notRun(ErrorType.CLAIM_UNAVAILABLE, CLAIM_RETRY_AFTER_MS, "its last request did not run")
                 : failureOf(caller, result);
         refuse(caller, call, failure);
     }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/configuration/DutyParts.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/configuration/LoopContext.java
@@ -4,12 +4,12 @@
 import org.marjoramswitch.daemon.platform.KeyValueStore;
 import org.marjoramswitch.kernel.model.InstanceId;
 
-/** What the parts of one instance's duty share. */
-record DutyParts(
+/** The objects that the components of one configuration loop share. */
+record LoopContext(
         InstanceId self,
         KeyValueStore store,
         PeerSender peers,
-        DutyInbox inbox,
-        SettingsInForce inForce,
+        LoopInbox inbox,
+        ActiveSettings activeSettings,
         ConfigurationOptions options,
         ConfigurationMetrics metrics) {}
--- a/daemon/src/test/java/org/marjoramswitch/daemon/fleet/LapsedTargetsTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/fleet/MissingTargetPolicyTest.java
@@ -11,26 +11,28 @@
 import org.marjoramswitch.kernel.model.TargetId;
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
-class LapsedTargetsTest {
+class MissingTargetPolicyTest {
     private static final Map<TargetId, TargetSettings> KNOWN = known("a1", "a2", "a3", "a4", "b1", "b2");
 
-    /** The service was away and every entry has lapsed: callers must still be served until they are back. */
+    /** The store was down and every entry has expired: callers must still be served until the entries are back. */
     @Test
-    void aPoolThatIsMissingAsAWholeIsKept() {
-        assertEquals(KNOWN, LapsedTargets.kept(KNOWN, Set.of()));
+    void targetsOfACompletelyMissingPoolAreKept() {
+        assertEquals(KNOWN, MissingTargetPolicy.targetsToKeep(KNOWN, Set.of()));
     }
 
-    /** This instance alone was cut off: a target that left meanwhile gets no request after the list was read. */
+    /**
+     * Only this instance was disconnected: a target that left in the meantime gets no request after the list was read.
+     */
     @Test
-    void fewMissingTargetsHaveLeft() {
-        assertEquals(Map.of(), LapsedTargets.kept(KNOWN, ids("a1", "a2", "a3", "b1")));
+    void fewMissingTargetsAreNotKept() {
+        assertEquals(Map.of(), MissingTargetPolicy.targetsToKeep(KNOWN, ids("a1", "a2", "a3", "b1")));
     }
 
     @Test
-    void eachPoolIsJudgedByItself() {
+    void eachPoolIsDecidedIndependently() {
         assertEquals(
                 Set.of(TargetId.of("b1"), TargetId.of("b2")),
-                LapsedTargets.kept(KNOWN, ids("a1", "a2", "a3")).keySet());
+                MissingTargetPolicy.targetsToKeep(KNOWN, ids("a1", "a2", "a3")).keySet());
     }
 
     private static Set<TargetId> ids(String... names) {
