--- a/kernel/src/main/java/org/marjoramswitch/kernel/cell/ArbiterAssignment.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/cell/ArbiterAssignment.java
@@ -14,13 +14,14 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * Selects the arbiter of each cell by bounded-load rendezvous hashing among the instances with the most processor capacity.
+ * Selects the arbiter of each cell by bounded-load rendezvous hashing among the instances with the most processor
+ * capacity.
  *
- * <p>Every request of a cell passes through its arbiter, so an arbiter that runs out of processor time stalls the cell for
- * all customers while its targets idle. Each cell therefore ranks the eligible instances by rendezvous weight, those of
- * the {@link ProcessorTier} before all others, and takes the first one that has fewer cells than its quota: its
- * processor's share of all cells, rounded up. Plain rendezvous hashing would give one of 9 equal instances three of 8
- * cells.
+ * <p>Every request of a cell passes through its arbiter, so an arbiter that runs out of processor time stalls the cell
+ * for all customers while its targets idle. Each cell therefore ranks the eligible instances by rendezvous weight,
+ * those of the {@link ProcessorTier} before all others, and takes the first one that has fewer cells than its quota:
+ * its processor's share of all cells, rounded up. Plain rendezvous hashing would give one of 9 equal instances three of
+ * 8 cells.
  *
  * <p>Example: 52 instances of 360 millicores, 8 of 1,500 and 2 cells. The share of a large instance is 0.1 of a cell,
  * rounded up to 1, so two of the large ones are arbiters.
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/CellLink.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/CellLink.java
@@ -140,7 +140,9 @@
         aheadTokens.put(customer, tokens);
     }
 
-    /** The leads of all customers that have received a grant, in tokens. A new arbiter restores its counters from them. */
+    /**
+     * The leads of all customers that have received a grant, in tokens. A new arbiter restores its counters from them.
+     */
     Map<CustomerId, Long> standings() {
         return aheadTokens;
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
@@ -44,8 +44,8 @@
  * second was rejected ends as unknown.
  *
  * <p>While a cell's arbiter is unreachable, or is new and still collects registrations, a request that ends passes its
- * slot to the next request waiting here, in the order of the customers' leads last received. Capacity is thus not idle during
- * a change of arbiter; the entry registers again afterwards and the arbiter accounts for the slot.
+ * slot to the next request waiting here, in the order of the customers' leads last received. Capacity is thus not idle
+ * during a change of arbiter; the entry registers again afterwards and the arbiter accounts for the slot.
  *
  * <p>A request under which several targets have crashed is not retried, whichever instance observed the crashes ({@link
  * PoisonRequestGossip}). A target that requested a backoff from this instance is not used until the backoff has elapsed
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/PoolQueues.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/PoolQueues.java
@@ -90,8 +90,8 @@
     }
 
     /**
-     * The home cell, to which a customer's requests are offered first: the one that granted the last of them, initially the
-     * one with the highest rendezvous weight. An entry thus has links to few arbiters, a customer's prompts use few
+     * The home cell, to which a customer's requests are offered first: the one that granted the last of them, initially
+     * the one with the highest rendezvous weight. An entry thus has links to few arbiters, a customer's prompts use few
      * caches, and a customer whose cell is full moves to a cell that had a slot for it.
      */
     CellId home(CustomerId customer, List<CellId> cells) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
@@ -32,9 +32,9 @@
  * {@link TargetChoice} finds a target. Customers with high demand therefore wait behind those with low demand, and no
  * target is kept idle.
  *
- * <p>A request that finds no target is not examined again in the same pass. Between passes only new requests are examined,
- * for targets that the last pass left free. The queue is thus scanned a bounded number of times per second, whatever the
- * number of requests and events.
+ * <p>A request that finds no target is not examined again in the same pass. Between passes only new requests are
+ * examined, for targets that the last pass left free. The queue is thus scanned a bounded number of times per second,
+ * whatever the number of requests and events.
  *
  * <p>A request is late once its first byte can no longer meet its objective. Late requests use only capacity that the
  * others leave, are held for a bounded time ({@link LateRequestHold}), and are then rejected with a retry delay.
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/PromptSources.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/PromptSources.java
@@ -10,8 +10,8 @@
  * data centre of the fetching engine if possible, since transfers between data centres take longer.
  *
  * <p>Fetching lets each prompt part be prefilled once in the fleet. Without it, a request waits for the engine that has
- * its prompt cached, or another engine prefills the same tokens again, which amounts to a tenth of all prefill work on a
- * day of overload.
+ * its prompt cached, or another engine prefills the same tokens again, which amounts to a tenth of all prefill work on
+ * a day of overload.
  *
  * <p>An ejected engine is not a source: after a failed fetch, the target has to prefill the prompt itself.
  *
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/SizeBalance.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/SizeBalance.java
@@ -5,10 +5,10 @@
  *
  * <p>A request whose prefill takes most of its objective has no slack to wait in the queue. Under overload, where every
  * request waits, such requests become late before they are started. With the uneven prompt sizes of real callers and
- * eight engines at 1.8 times their capacity, 0.27 of the largest tenth of the requests would be served, compared to 0.68
- * of all. (Both are shares of one kind of request, reports, whose prompt sizes vary most.) Serving both groups equally
- * often would cost too much: the largest tenth has half of the tokens, so serving one of its requests rejects a dozen
- * others.
+ * eight engines at 1.8 times their capacity, 0.27 of the largest tenth of the requests would be served, compared to
+ * 0.68 of all. (Both are shares of one kind of request, reports, whose prompt sizes vary most.) Serving both groups
+ * equally often would cost too much: the largest tenth has half of the tokens, so serving one of its requests rejects a
+ * dozen others.
  *
  * <p>Therefore the served shares of both groups are compared over the newest requests, and a large request may wait in
  * the queue while large requests are served less than {@value #MIN_RATIO} times as often as the others. Its response is
@@ -18,7 +18,9 @@
  * <p>Cost: constant time. Not thread-safe.
  */
 final class SizeBalance {
-    /** Minimum served share of large requests relative to that of the others; 0.5 would be too low for their callers. */
+    /**
+     * Minimum served share of large requests relative to that of the others; 0.5 would be too low for their callers.
+     */
     private static final double MIN_RATIO = 0.7;
     /** About the newest hundred requests of each group count; a busy pool receives as many large ones in seconds. */
     private static final double DECAY = 1 - 1.0 / 100;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/SizeClass.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/SizeClass.java
@@ -2,7 +2,9 @@
 
 /** Classifies a request by the part of its objective that remains after its prefill. */
 enum SizeClass {
-    /** The time left after the prefill is shorter than the typical queue wait under overload: rarely started in time. */
+    /**
+     * The time left after the prefill is shorter than the typical queue wait under overload: rarely started in time.
+     */
     LARGE,
     USUAL,
     /** The objective had expired on arrival: the request is a retry, so its remaining time does not show its size. */
--- a/kernel/src/main/java/org/marjoramswitch/kernel/request/KeyRegistry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/request/KeyRegistry.java
@@ -30,8 +30,8 @@
  * keys get a floor.
  *
  * <p><b>Time:</b> Ages compare the clocks of two instances. If a clock went back, old keys would become young again and
- * an evicted one could run twice, so the registry uses the maximum of all times that were passed to it. Clock differences cause
- * rejections, never a second execution.
+ * an evicted one could run twice, so the registry uses the maximum of all times that were passed to it. Clock
+ * differences cause rejections, never a second execution.
  *
  * <p><b>Customers</b> have separate entries: another customer's key is unseen, so nobody can attach to another
  * customer's request or learn that it exists.
--- a/kernel/src/main/java/org/marjoramswitch/kernel/watch/WatchSharing.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/watch/WatchSharing.java
@@ -49,8 +49,8 @@
     private static final long STANDALONE_AFTER_MS = 1_500;
     /**
      * Grace period when all instances start together: on the smallest machines it takes seconds until they have
-     * discovered one another and the watchers have read the store. Watches opened meanwhile would each receive the other instances'
-     * list entries one by one.
+     * discovered one another and the watchers have read the store. Watches opened meanwhile would each receive the
+     * other instances' list entries one by one.
      */
     private static final long STARTUP_GRACE_MS = 4_000;
     /** Heartbeats must have arrived for this long before the own watch is closed; prevents oscillation. */
--- a/kernel/src/test/java/org/marjoramswitch/kernel/ArbiterFailoverTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/ArbiterFailoverTest.java
@@ -75,8 +75,7 @@
     @Test
     void resumedArbiterIsUsedAgainAndItsOldGrantsAreDeclined() {
         // The paused arbiter resumes with a backlog of messages and grants from outdated state. The entry declines
-        // those
-        // grants, since it has left the arbiter, and then registers with it again. Nothing runs twice.
+        // those grants, since it has left the arbiter, and then registers with it again. Nothing runs twice.
         InstanceId arbiter = arbiter();
         InstanceId entry = otherThan(arbiter);
         paused = arbiter;
@@ -140,7 +139,7 @@
     void pausedEntryIsNotGrantedUntilItResumes() {
         // An entry is paused with requests waiting, so grants to it start nothing. If the arbiter kept granting its
         // offers, requests of other entries would wait while slots stay empty. After 400 ms of silence the entry's
-        // offers are withdrawn; once it sends a message again, the arbiter asks it to register.
+        // offers are withdrawn; once it sends a message again, the arbiter requests a new registration.
         InstanceId arbiter = arbiter();
         InstanceId entry = otherThan(arbiter);
         for (int i = 0; i < 8; i++) {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/ArbiterProcessorTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/ArbiterProcessorTest.java
@@ -20,7 +20,7 @@
     private static final double EVENT_CORE_MS = 0.11;
     private static final double REQUESTS_PER_SECOND = 1_400;
 
-    /** Guards against an arbiter with too little processor, which starves its whole pool while targets idle. */
+    /** Guards against an arbiter with too little processor time, which starves its whole pool while targets idle. */
     @ParameterizedTest
     @ValueSource(strings = {"pool-0", "pool-1", "pool-2", "pool-3", "pool-4", "pool-5"})
     void arbiterHasEnoughProcessorForItsPool(String pool) {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/InvariantsTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/InvariantsTest.java
@@ -9,9 +9,9 @@
 
 /**
  * Tests the invariants under random sequences of arrivals, deliveries, ends, faults, cut links, restarts, wrong views
- * and draining targets. {@link RandomFleet} checks at every step: at most one attempt of a request at a time, at most one
- * execution of a non-repeatable request, no "not run" for a request that may have run, exactly one end per request, and
- * no dispatch to a draining target.
+ * and draining targets. {@link RandomFleet} checks at every step: at most one attempt of a request at a time, at most
+ * one execution of a non-repeatable request, no "not run" for a request that may have run, exactly one end per request,
+ * and no dispatch to a draining target.
  */
 class InvariantsTest {
     private static final int STEPS = 3_000;
--- a/kernel/src/test/java/org/marjoramswitch/kernel/PlacementFleetTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/PlacementFleetTest.java
@@ -28,8 +28,9 @@
     }
 
     /**
-     * Guards against a second start of a request. The arbiter freezes with the request in its queue, so the entry asks
-     * the next instance in rank. When the first arbiter resumes, its placement is returned unused.
+     * Guards against a second start of a request. The arbiter freezes with the request in its queue, so the entry sends
+     * its placement request to the next instance in rank. When the first arbiter resumes, its placement is returned
+     * unused.
      */
     @Test
     void latePlacementOfAFrozenArbiterStartsNothing() {
@@ -214,7 +215,7 @@
         assertEquals(2 * SLOTS, dispatched.size());
     }
 
-    /** An instance that the target did not ask to back off continues to use it. */
+    /** An instance from which the target did not request a backoff continues to use it. */
     @Test
     void backoffAppliesToOneInstanceOnly() {
         apply(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 60_000));
@@ -235,7 +236,9 @@
         assertEquals(TargetId.of("t2"), dispatched.get(0).target());
     }
 
-    /** With all targets in backoff, callers are rejected immediately with the time to retry, since waiting is useless. */
+    /**
+     * With all targets in backoff, callers are rejected immediately with the time to retry, since waiting is useless.
+     */
     @Test
     void requestIsRejectedWhileAllTargetsAreInBackoff() {
         apply(entry, new Event.TargetAskedForRest(TargetId.of("t1"), 2_000));
@@ -247,9 +250,9 @@
     }
 
     /**
-     * Guards against an endless loop of placements. One of two targets is in backoff and the arbiter knows that the other
-     * is gone, so it places the request at the target in backoff again each time the entry returns the placement. The
-     * caller must receive the time to retry immediately.
+     * Guards against an endless loop of placements. One of two targets is in backoff and the arbiter knows that the
+     * other is gone, so it places the request at the target in backoff again each time the entry returns the placement.
+     * The caller must receive the time to retry immediately.
      */
     @Test
     @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
@@ -296,8 +299,9 @@
     }
 
     /**
-     * Guards against fetching cached prompt parts from a target that is gone, whose address may belong to another service
-     * by now. The arbiter does not know yet that the target is gone; the assigned target prefills the prompt itself.
+     * Guards against fetching cached prompt parts from a target that is gone, whose address may belong to another
+     * service by now. The arbiter does not know yet that the target is gone; the assigned target prefills the prompt
+     * itself.
      */
     @Test
     void nothingIsFetchedFromATargetThatIsGone() {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/PoisonRequestTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/PoisonRequestTest.java
@@ -53,8 +53,8 @@
     }
 
     /**
-     * A blocked request is dispatched to no target, where it would crash other callers' requests; its callers immediately
-     * get a "not run" failure.
+     * A blocked request is dispatched to no target, where it would crash other callers' requests; its callers
+     * immediately get a "not run" failure.
      */
     @Test
     void callersOfABlockedRequestGetNotRunImmediately() {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/ProcessorBoundFleet.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/ProcessorBoundFleet.java
@@ -27,8 +27,8 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * Simulates a fleet of kernels in virtual time in which each event costs processor time. An instance processes its events
- * in order of arrival, at the speed of its processor. Targets complete each request after a fixed time.
+ * Simulates a fleet of kernels in virtual time in which each event costs processor time. An instance processes its
+ * events in order of arrival, at the speed of its processor. Targets complete each request after a fixed time.
  */
 final class ProcessorBoundFleet {
     private static final DataCentreId DATA_CENTRE = DataCentreId.of("dc");
@@ -173,7 +173,7 @@
         if (action instanceof Action.SendPeer send) {
             at(nowMs + LINK_LATENCY_MS, () -> receive(send.to(), new Event.PeerReceived(at, 1, send.message())));
         } else if (action instanceof Action.Dispatch dispatch) {
-            at(nowMs + FIRST_BYTE_MS, () -> answering(at, dispatch.requestId()));
+            at(nowMs + FIRST_BYTE_MS, () -> responseStarted(at, dispatch.requestId()));
             at(
                     nowMs + RESPONSE_MS,
                     () -> arrive(at, new Event.TargetEnded(dispatch.requestId(), TargetOutcome.COMPLETED, Usage.NONE)));
@@ -186,7 +186,7 @@
         longestWaitMs = Math.max(longestWaitMs, nowMs - arrivedAtMs.getOrDefault(request, nowMs));
     }
 
-    private void answering(InstanceId entry, long request) {
+    private void responseStarted(InstanceId entry, long request) {
         if (nowMs - arrivedAtMs.getOrDefault(request, 0.0) <= OBJECTIVE_MS) {
             inTime++;
         }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/RandomFleet.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/RandomFleet.java
@@ -32,8 +32,8 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 /**
- * Simulates kernels that are connected by ordered queues instead of links, with targets whose attempts end on command. A
- * seeded random source selects every step. The invariants are checked on every action.
+ * Simulates kernels that are connected by ordered queues instead of links, with targets whose attempts end on command.
+ * A seeded random source selects every step. The invariants are checked on every action.
  */
 final class RandomFleet {
     static final PoolId POOL = PoolId.of("pool");
--- a/kernel/src/test/java/org/marjoramswitch/kernel/arbiter/ArbiterTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/arbiter/ArbiterTest.java
@@ -48,8 +48,8 @@
 
     @Test
     void collectsRegistrationsBeforeTheFirstGrant() {
-        // Guards against grants for occupied slots: a new arbiter learns of requests in flight at other entries only
-        // through their registrations, so an immediate grant would overload engines at every change of arbiter.
+        // Guards against grants for occupied slots: a new arbiter receives the requests in flight at other entries only
+        // with their registrations, so an immediate grant would overload engines at every change of arbiter.
         register(E1, offer(A, 5));
 
         assertEquals(List.of(), grants(OPEN_AT_MS - 1));
--- a/kernel/src/test/java/org/marjoramswitch/kernel/entry/EntryTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/entry/EntryTest.java
@@ -74,8 +74,7 @@
     @Test
     void brokenAttemptFollowedByRejectedOnesEndsAsUnknown() {
         // The first target accepts the request and breaks off; the retry is rejected by the second. The failure must
-        // not
-        // be "not run", since the first target may have executed the request.
+        // not be "not run", since the first target may have executed the request.
         arrive(1, true);
         grant(T1);
         end(1, TargetOutcome.BROKEN_BEFORE_ANSWER);
@@ -122,8 +121,8 @@
     @Test
     void grantFromAnInstanceThatIsNotTheArbiterIsDeclined() {
         // A former arbiter that was paused until it was replaced resumes and grants from outdated state. The slot may
-        // be
-        // taken by now; accepting the grant would put load on the target that the current arbiter does not account for.
+        // be taken by now; accepting the grant would put load on the target that the current arbiter does not account
+        // for.
         arrive(1, true);
         entry.granted(InstanceId.of("former"), new PeerMessage.Grant(CELL, 1, CUSTOMER, T1, 0), nowMs, actions::add);
 
@@ -144,8 +143,7 @@
     @Test
     void requestIsOfferedAgainAfterItsGrantWasDeclined() {
         // The entry knows that the granted target is draining, the arbiter does not yet. The arbiter decremented the
-        // offer
-        // for that grant; without a new offer, the caller waits until the deadline although slots are free.
+        // offer for that grant; without a new offer, the caller waits until the deadline although slots are free.
         arrive(1, true);
         fleet.leavingTargets(Set.of(T1));
         actions.clear();
@@ -164,8 +162,7 @@
     @Test
     void slotIsReusedWhileTheArbiterIsUnreachable() {
         // The arbiter crashes and the entry's request ends, so nobody can grant the slot. The entry's next request
-        // takes
-        // it immediately, and the next arbiter is notified by the registration.
+        // takes it immediately, and the next arbiter is notified by the registration.
         arrive(1, true);
         arrive(2, true);
         grant(T1);
@@ -220,8 +217,7 @@
     @Test
     void entryRegistersAgainAfterItsArbiterLostTheRegistration() {
         // The arbiter considered this entry dead and dropped its offers while the link stayed up. Without the
-        // notification
-        // its requests would wait until their deadline although slots are free.
+        // notification its requests would wait until their deadline although slots are free.
         arrive(1, true);
         actions.clear();
         entry.registrations().registrationLost(ARBITER, CELL, nowMs, actions::add);
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/PlacementArbiterTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/PlacementArbiterTest.java
@@ -107,7 +107,7 @@
 
     /**
      * Requests arrive one at a time, so that the load never favours the target that was slow once; it must still be
-     * tried again.
+     * used again.
      */
     @Test
     void aTargetThatWasSlowOnceIsTriedAgain() {
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/PlacementSimulation.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/PlacementSimulation.java
@@ -353,7 +353,7 @@
                         placed.fetchFrom() == null ? null : engines.get(placed.fetchFrom()),
                         new SimulatedEngine.Listener() {
                             @Override
-                            public void onFirst(double atMs) {
+                            public void onFirstToken(double atMs) {
                                 boolean inTime = atMs + 2 * ONE_WAY_DELAY_MS - request.firstSentAtMs()
                                         <= request.kind().objectiveMs;
                                 count(request, inTime ? tally -> tally.inTime++ : tally -> tally.late++);
--- a/kernel/src/test/java/org/marjoramswitch/kernel/placement/SimulatedEngine.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/placement/SimulatedEngine.java
@@ -73,7 +73,7 @@
 
     /** Receives a request's first token and end. */
     interface Listener {
-        void onFirst(double nowMs);
+        void onFirstToken(double nowMs);
 
         void onEnd(double nowMs);
     }
@@ -165,7 +165,7 @@
         if (oldest.pendingTokens <= 0) {
             prefilling.poll();
             running.add(oldest);
-            oldest.listener.onFirst(nowMs);
+            oldest.listener.onFirstToken(nowMs);
         }
     }
 }
--- a/kernel/src/test/java/org/marjoramswitch/kernel/request/KeyRegistryTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/request/KeyRegistryTest.java
@@ -65,8 +65,7 @@
     }
 
     // A retry at another instance queries the key before the first attempt has been read here. It is reported as "not
-    // run";
-    // the first attempt, read a moment later, must not run.
+    // run"; the first attempt, read a moment later, must not run.
     @Test
     void queriedKeyNeverRuns() {
         RequestKey key = key(NOW_MS, "k");
--- a/kernel/src/test/java/org/marjoramswitch/kernel/watch/WatchSharingTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/watch/WatchSharingTest.java
@@ -16,13 +16,14 @@
 import org.marjoramswitch.kernel.model.InstanceId;
 
 /**
- * Every instance receives every change within the bounds for leaving targets and settings, with few calls of the store.
+ * Every instance receives every change within the bounds for draining targets and settings, with few calls of the
+ * store.
  */
 class WatchSharingTest {
     private static final int DATA_CENTRES = 5;
     private static final int EACH = 19;
     private static final int ALL = DATA_CENTRES * EACH;
-    /** The tightest bound on the time until a leaving target is known everywhere. */
+    /** The tightest bound on the time until all instances know that a target is draining. */
     private static final long BOUND_MS = 2_000;
 
     private final WatchedFleet fleet = WatchedFleet.of(DATA_CENTRES, EACH);
@@ -71,7 +72,7 @@
     /**
      * The store rejects both watchers of four data centres and one of the fifth, and serves all other instances. The
      * remaining watcher's heartbeats reach its neighbours and the watchers of the other data centres; instances that
-     * receive no heartbeats open their own watch. Otherwise requests would still be sent to a target that has left.
+     * receive no heartbeats open their own watch. Otherwise requests would still be sent to a target that is gone.
      */
     @Test
     void aChangeSeenByOneWatcherReachesAllThatTheStoreServes() {
@@ -90,7 +91,7 @@
     /**
      * The store reports a change to no watch for a second, then drops its history and closes all watches. Only the
      * watchers had a watch; they read all entries, and their next heartbeat shows the neighbours that a change is
-     * missing. Otherwise requests would be sent to a target that has left, and rejected under outdated settings.
+     * missing. Otherwise requests would be sent to a target that is gone, and rejected under outdated settings.
      */
     @Test
     void aChangeLostByCompactionReachesAllInTime() {
@@ -145,10 +146,10 @@
     }
 
     /**
-     * All instances start together on slow machines and need three seconds to know one another, while the list entry of
-     * each one is written. If instances open own watches from 1.5 s on, and each one that a growing view selects as
-     * watcher for a moment watches, they make 3,049 calls in these seconds; with the startup grace and the minimum
-     * selection time 685, of which 95 are full reads.
+     * All instances start together on slow machines and need three seconds to discover one another, while the list
+     * entry of each one is written. If instances open own watches from 1.5 s on, and each one that a growing view
+     * selects as watcher for a moment watches, they make 3,049 calls in these seconds; with the startup grace and the
+     * minimum selection time 685, of which 95 are full reads.
      */
     @Test
     void aSimultaneousStartOpensFewWatches() {
@@ -212,8 +213,8 @@
     /**
      * The store is restored from a copy some seconds old, perhaps twice, while an instance is paused or rejected.
      * Changes since the copy are lost and written again in another order. Two seconds after the last change every
-     * instance that the store serves must hold the store's entries; otherwise requests would go to targets that have
-     * left, and settings would stay outdated.
+     * instance that the store serves must hold the store's entries; otherwise requests would be sent to targets that
+     * are gone, and settings would stay outdated.
      */
     @ParameterizedTest
     @MethodSource("seeds")
--- a/kernel/src/test/java/org/marjoramswitch/kernel/watch/WatchedFleet.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/watch/WatchedFleet.java
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Creates instances that start together and know only themselves. Each one's view grows by a few instances at a
+     * Creates instances that start together, each with only itself in its view. Each view grows by a few instances at a
      * time until, after {@code knownMs}, it is complete. Meanwhile each writes an entry of its own.
      */
     static WatchedFleet starting(int dataCentres, int instancesEach, long knownMs) {
