--- a/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/Arbiter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/Arbiter.java
@@ -48,8 +48,8 @@
  */
 public final class Arbiter {
     /**
-     * An entry that was sent more grants than this without sending any message is probed. Fewer are common with light
-     * customers, and a probe after each grant would cost as much as the grant.
+     * An entry that was sent more grants than this without sending any message is probed. Fewer are common with
+     * customers of low demand, and a probe after each grant would cost as much as the grant.
      */
     private static final int MAX_UNACKNOWLEDGED_GRANTS = 4;
 
@@ -290,7 +290,7 @@
         long sequence = nextSequence++;
         double estimate = next.estimateTokens();
         double charge = FairShares.expectedCostTokens(0, estimate);
-        long aheadTokens = Math.round(shares.lead(customer));
+        long leadTokens = Math.round(shares.lead(customer));
         TargetId targetId = target.settings().id();
         target.started(nowMs);
         state.granted(sequence, new GrantedRequest(customer, targetId, estimate, charge));
@@ -317,7 +317,7 @@
                 "reason",
                 "least_counter",
                 "aheadTokens",
-                aheadTokens,
+                leadTokens,
                 "runnerUp",
                 runnerUp == null ? "none" : runnerUp.customer(),
                 "targetInFlight",
--- a/kernel/src/main/java/org/marjoramswitch/kernel/capacity/OutlierEjection.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/capacity/OutlierEjection.java
@@ -6,7 +6,7 @@
  * <p>After {@value #FAULTS_TO_EJECT} consecutive faults the target receives no requests for a period that doubles with
  * every ejection, from {@value #BASE_EJECTION_MS} ms to {@value #MAX_EJECTION_MS} ms. After that it receives one
  * request at a time as a probe until one succeeds. Without ejection, a target that fails requests immediately frees its
- * slots first and attracts the whole queue.
+ * slots first and receives all waiting requests.
  */
 public final class OutlierEjection {
     private static final int FAULTS_TO_EJECT = 3;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/CellLink.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/CellLink.java
@@ -11,7 +11,7 @@
 final class CellLink {
     private final CellId cell;
     private final Map<CustomerId, Integer> offered = new TreeMap<>();
-    private final Map<CustomerId, Long> aheadTokens = new TreeMap<>();
+    private final Map<CustomerId, Long> leadTokens = new TreeMap<>();
     private @Nullable InstanceId arbiter;
     private boolean registered;
     private boolean holdingsChanged;
@@ -132,18 +132,18 @@
     }
 
     /** The customer's lead over the floor of the arbiter's counters, as of its last grant; 0 if there was none. */
-    long aheadTokens(CustomerId customer) {
-        return aheadTokens.getOrDefault(customer, 0L);
+    long leadTokens(CustomerId customer) {
+        return leadTokens.getOrDefault(customer, 0L);
     }
 
-    void aheadTokens(CustomerId customer, long tokens) {
-        aheadTokens.put(customer, tokens);
+    void leadTokens(CustomerId customer, long tokens) {
+        leadTokens.put(customer, tokens);
     }
 
     /**
      * The leads of all customers that have received a grant, in tokens. A new arbiter restores its counters from them.
      */
-    Map<CustomerId, Long> standings() {
-        return aheadTokens;
+    Map<CustomerId, Long> leads() {
+        return leadTokens;
     }
 }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/DemandPublisher.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/DemandPublisher.java
@@ -182,9 +182,9 @@
     }
 
     private static void addStanding(CellLink link, CustomerId customer, Map<CustomerId, PeerMessage.Standing> into) {
-        Long ahead = link.standings().get(customer);
-        if (ahead != null) {
-            into.put(customer, new PeerMessage.Standing(customer, ahead));
+        Long leadTokens = link.leads().get(customer);
+        if (leadTokens != null) {
+            into.put(customer, new PeerMessage.Standing(customer, leadTokens));
         }
     }
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
@@ -283,7 +283,7 @@
             return;
         }
         link.recordGrant(grant.sequence());
-        link.aheadTokens(grant.customer(), grant.aheadTokens());
+        link.leadTokens(grant.customer(), grant.aheadTokens());
         PoolQueues pool = pool(grant.cell().pool());
         EntryRequest request = take(pool, grant.customer(), grant.target());
         demand.granted(link, pool, grant.customer(), nowMs, sink);
@@ -704,7 +704,7 @@
             return;
         }
         CustomerQueue next = pool.backlogged().stream()
-                .min(Comparator.comparingLong((CustomerQueue queue) -> link.aheadTokens(queue.customer()))
+                .min(Comparator.comparingLong((CustomerQueue queue) -> link.leadTokens(queue.customer()))
                         .thenComparing(CustomerQueue::customer))
                 .orElse(null);
         EntryRequest request = next == null ? null : take(pool, next.customer(), target);
@@ -716,8 +716,8 @@
                         ? 0
                         : fleet.settings().pools().get(pool.pool()).initialEstimateTokens()
                                 / fleet.weight(request.spec().customer()));
-        link.aheadTokens(
-                request.spec().customer(), link.aheadTokens(request.spec().customer()) + charge);
+        link.leadTokens(
+                request.spec().customer(), link.leadTokens(request.spec().customer()) + charge);
         link.markHoldingsChanged();
         start(request, target, link.cell(), -request.spec().requestId(), "slot_reuse", nowMs, sink);
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Placements.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Placements.java
@@ -138,7 +138,7 @@
         return placement.request;
     }
 
-    /** Starts a backoff of an arbiter that owes a response and sent no message. */
+    /** Starts a backoff of an arbiter that sent no message although a response is expected. */
     void arbiterSilent(InstanceId arbiter, long nowMs, ActionSink sink) {
         recordLate(arbiter, "silent", nowMs, sink);
     }
@@ -230,7 +230,7 @@
         }
     }
 
-    /** The arbiters, other than this instance, that owe a response. */
+    /** The arbiters, other than this instance, from which a response is expected. */
     Set<InstanceId> awaitedArbiters() {
         Set<InstanceId> awaited = new TreeSet<>();
         for (PlacementRequest placement : byId.values()) {
--- a/kernel/src/main/java/org/marjoramswitch/kernel/fair/FairShares.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/fair/FairShares.java
@@ -17,13 +17,13 @@
  * Language Models", OSDI 2024) with a different charge: a running request is charged the tokens that it has delivered
  * plus its expected remaining cost, see {@link #expectedCostTokens}.
  *
- * <p>Credit: a customer that becomes backlogged is raised to the floor less a credit, by default
- * {@value #CREDIT_ESTIMATES} requests of the pool's initial estimate, see {@link #credit}. Idling therefore earns at
- * most the credit, and a new customer does not wait for service that others received earlier. The credit lets a small
- * burst through: without it, the requests of a light customer alternate one for one with those of a flooding customer.
- * A counter is never lowered, so a customer that uses its share gains nothing by pausing. Example, with an initial
- * estimate of 200: A has been served 10,000 tokens while alone and stays backlogged. B arrives with counter 0 and is
- * raised to 9,000. B is served alone for 1,000 tokens, then both are served equally.
+ * <p>Credit: a customer that becomes backlogged is raised to the floor less a credit, by default {@value
+ * #CREDIT_ESTIMATES} requests of the pool's initial estimate, see {@link #credit}. Idling therefore earns at most the
+ * credit, and a new customer does not wait for service that others received earlier. The credit lets a small burst
+ * through: without it, the requests of a customer with low demand alternate one for one with those of a customer with
+ * high demand. A counter is never lowered, so a customer that uses its share gains nothing by pausing. Example, with an
+ * initial estimate of 200: A has been served 10,000 tokens while alone and stays backlogged. B arrives with counter 0
+ * and is raised to 9,000. B is served alone for 1,000 tokens, then both are served equally.
  *
  * <p>Floor: the floor is the maximum that the least backlogged counter has ever reached. With the current least counter
  * instead, each new customer would start one credit below the previous one, and a stream of new customers would starve
@@ -54,7 +54,7 @@
     private static final double MIN_REMAINING_SHARE = 0.5;
 
     private final Map<CustomerId, CustomerAccount> accounts = new TreeMap<>();
-    /** Ties go to the customer charged less, such as a new one raised to the counter of a flooding customer. */
+    /** Ties go to the customer charged less, such as a new one raised to the counter of one with high demand. */
     private final TreeSet<CustomerAccount> backlogged =
             new TreeSet<>(Comparator.comparingDouble(CustomerAccount::counter)
                     .thenComparingDouble(CustomerAccount::chargedTokens)
@@ -113,7 +113,8 @@
 
     /**
      * Sets how far below the floor a customer may start that becomes backlogged from now on. If the work of a few
-     * seconds is known, an even share of it serves light customers better than the default of a few initial estimates.
+     * seconds is known, an even share of it serves customers with low demand better than the default of a few initial
+     * estimates.
      */
     public void credit(double tokens) {
         creditTokens = tokens;
@@ -192,9 +193,9 @@
      * relative to the floor. Of several reports for one customer the highest applies, since counters of waiting
      * customers do not fall.
      */
-    public void adopt(CustomerId customer, double aheadTokens) {
+    public void adopt(CustomerId customer, double leadTokens) {
         CustomerAccount account = account(customer);
-        double counter = adopting ? aheadTokens : floor() + aheadTokens;
+        double counter = adopting ? leadTokens : floor() + leadTokens;
         if (account.adopted() || !adopting) {
             reorder(account, () -> account.raiseTo(counter));
             return;
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/Datagram.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/Datagram.java
@@ -31,7 +31,7 @@
     /** Acknowledges a ping, or reports to the sender of a {@link PingRequest} that its target acknowledged. */
     public record Ack(long number) implements Body {}
 
-    /** Asks the receiver to ping the target and to forward its acknowledgement (an indirect probe). */
+    /** Requests an indirect probe: the receiver pings the target and forwards its acknowledgement. */
     public record PingRequest(long number, MemberAddress target) implements Body {}
 
     /** Digests of the {@link ViewDigest#BUCKETS} buckets of the sender's view; requests the buckets that differ. */
--- a/kernel/src/main/java/org/marjoramswitch/kernel/membership/FailureDetector.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/membership/FailureDetector.java
@@ -21,7 +21,7 @@
  * views.
  *
  * <p><b>Algorithm.</b> Once per probe interval an instance pings one other member; the members follow one another in
- * random order. If the direct ping is not acknowledged in time, it asks a few other members to ping the target
+ * random order. If the direct ping is not acknowledged in time, a few other members are requested to ping the target
  * (indirect probes), so that a single broken path between two instances does not raise a suspicion. A member that is
  * not acknowledged by the end of the interval becomes suspect, and dead if it does not refute the suspicion within the
  * suspicion timeout. Updates are piggybacked on these datagrams, each a bounded number of times. The number of
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/PlacementArbiter.java
@@ -292,7 +292,7 @@
         Set<CustomerId> exhausted = new HashSet<>();
         Set<Long> examinedArrivals = new HashSet<>();
         CustomerAccount next = lowestExcept(exhausted);
-        while (next != null && choice.hasOpen()) {
+        while (next != null && choice.hasFree()) {
             if (!placeNextOf(next.customer(), choice, examinedArrivals, nowMs, sink)) {
                 exhausted.add(next.customer());
             }
@@ -412,7 +412,8 @@
             return;
         }
         if (ended.end() == PlacementEnd.FAILED || ended.end() == PlacementEnd.REFUSED) {
-            // A target that refuses connections immediately always has free slots and would attract the whole queue.
+            // A target that refuses connections immediately always has free slots and would receive all waiting
+            // requests.
             if (policy.has(Mechanism.OUTLIER_EJECTION)) {
                 target.health().failed(nowMs);
             }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/QueueWaitEstimate.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/QueueWaitEstimate.java
@@ -14,7 +14,8 @@
  * its objective. The requests ahead of it lose nothing, since it would never have been started.
  *
  * <p>Edge cases: the estimate is too low if engines are limited by slots, memory or generation rather than prefill, so
- * some requests still wait in vain. It is too high if requests ahead are cancelled, which is rare within an objective.
+ * some requests still wait until their objective expires. It is too high if requests ahead are cancelled, which is rare
+ * within an objective.
  *
  * <p>Cost: linear in the backlogged customers and the customer's own waiting requests.
  */
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/SizeBalance.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/SizeBalance.java
@@ -13,7 +13,7 @@
  * <p>Therefore the served shares of both groups are compared over the newest requests, and a large request may wait in
  * the queue while large requests are served less than {@value #MIN_RATIO} times as often as the others. Its response is
  * late, as it would be anyway, but it is served: 0.43 of the largest tenth at that load, at a cost of 0.03 of the total
- * value.
+ * value of the requests served.
  *
  * <p>Cost: constant time. Not thread-safe.
  */
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetChoice.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetChoice.java
@@ -17,11 +17,12 @@
  * without being marked as such.
  *
  * <p>If the cheapest target is not free, the request waits for it as long as it can still meet its objective there;
- * otherwise the cheapest free target is used. Thus the requests of a session stay together until one of them would
- * become late. A session that exceeds the capacity of one engine spreads: once two engines have it cached, both are
- * candidates. In a full pool a request is not sent to an engine that would have to prefill a long session for it, even
- * if the request becomes late: with eight engines at 1.5 times their capacity, this reduces repeated prefill from 2.3
- * to 0.6 million tokens in 20 s and raises the value served in time by a fifth.
+ * otherwise the cheapest free target is used. Thus the requests of a session, which have all prompt parts but the last
+ * in common, stay together until one of them would become late. A session that exceeds the capacity of one engine
+ * spreads: once two engines have it cached, both are candidates. In a full pool a request is not sent to an engine that
+ * would have to prefill a long session for it, even if the request becomes late: with eight engines at 1.5 times their
+ * capacity, this reduces repeated prefill from 2.3 to 0.6 million tokens in 20 s and raises the total value of the
+ * requests served in time by a fifth.
  *
  * <p>Where engines can fetch cached parts from one another, tokens that another engine has prefilled count as a small
  * fraction of a prefill, see {@link PromptSources}.
@@ -48,8 +49,8 @@
      * Weight of prefill time. Prefilling tokens that another engine has cached takes engine time and memory from all
      * requests, whereas a wait that still meets the objective costs the caller nothing. Nearly all tokens prefilled
      * again are cached at another engine at that time. With a weight of 2 they are 343, 493 and 859 thousand in 20 s at
-     * 0.7, 1 and 1.3 times the capacity of eight engines, with 8 they are 161, 211 and 466 thousand, at the same value;
-     * a weight of 12 changes little further.
+     * 0.7, 1 and 1.3 times the capacity of eight engines, with 8 they are 161, 211 and 466 thousand, at the same total
+     * value of the requests served; a weight of 12 changes little further.
      */
     private static final double PREFILL_WEIGHT = 8;
     /** Difference in service time between an empty and a full engine, by order of magnitude. */
@@ -121,8 +122,8 @@
     }
 
     /** Whether any target can take a request now. */
-    boolean hasOpen() {
-        return pool.order().hasOpen();
+    boolean hasFree() {
+        return pool.order().hasFree();
     }
 
     /** Updates the order after a request was started at the target, for the next choice. */
@@ -133,7 +134,7 @@
     /** The target at which to start the request now; null if the request has to wait. */
     @Nullable
     Chosen chooseInTime(WaitingRequest request) {
-        if (!hasOpen()) {
+        if (!hasFree()) {
             return null;
         }
         return decide(request, request.prompt().isEmpty() ? bestOfAll(request) : bestWithPrompt(request));
@@ -215,7 +216,7 @@
             if (!found.canBeBeaten(minCostMs, true)) {
                 return;
             }
-            if (found.canBeBeaten(minCostMs, ranked.isOpen()) && allowed.test(ranked.target())) {
+            if (found.canBeBeaten(minCostMs, ranked.isFree()) && allowed.test(ranked.target())) {
                 found.add(candidate(request, ranked.target(), context));
             }
         }
@@ -261,7 +262,7 @@
      */
     @Nullable
     Chosen chooseLate(WaitingRequest request) {
-        if (!hasOpen()) {
+        if (!hasFree()) {
             return null;
         }
         RequestContext context = context(request);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetOrder.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/placement/TargetOrder.java
@@ -18,7 +18,7 @@
     private static final Comparator<RankedTarget> CHEAPEST_FIRST = Comparator.comparingDouble(RankedTarget::costMs);
 
     private final List<RankedTarget> ranking = new ArrayList<>();
-    private int open;
+    private int freeCount;
 
     private TargetOrder() {}
 
@@ -30,7 +30,7 @@
     void targets(Collection<TargetLoad> targets) {
         ranking.clear();
         targets.forEach(target -> ranking.add(new RankedTarget(target)));
-        open = 0;
+        freeCount = 0;
     }
 
     /**
@@ -40,10 +40,10 @@
      * @param loadMs cost of a target's load for a request
      */
     void update(ToDoubleFunction<TargetLoad> waitMs, ToDoubleFunction<TargetLoad> loadMs) {
-        open = 0;
+        freeCount = 0;
         for (RankedTarget ranked : ranking) {
             ranked.update(waitMs, loadMs);
-            open += ranked.isOpen() ? 1 : 0;
+            freeCount += ranked.isFree() ? 1 : 0;
         }
         ranking.sort(CHEAPEST_FIRST);
     }
@@ -52,9 +52,9 @@
     void update(TargetLoad changed, ToDoubleFunction<TargetLoad> waitMs, ToDoubleFunction<TargetLoad> loadMs) {
         for (RankedTarget ranked : ranking) {
             if (ranked.target() == changed) {
-                open -= ranked.isOpen() ? 1 : 0;
+                freeCount -= ranked.isFree() ? 1 : 0;
                 ranked.update(waitMs, loadMs);
-                open += ranked.isOpen() ? 1 : 0;
+                freeCount += ranked.isFree() ? 1 : 0;
                 ranking.sort(CHEAPEST_FIRST);
                 return;
             }
@@ -62,8 +62,8 @@
     }
 
     /** Whether any target can take a request now. */
-    boolean hasOpen() {
-        return open > 0;
+    boolean hasFree() {
+        return freeCount > 0;
     }
 
     /** The targets, cheapest first. */
@@ -85,7 +85,7 @@
             return target;
         }
 
-        boolean isOpen() {
+        boolean isFree() {
             return waitMs == 0;
         }
 
--- a/kernel/src/main/java/org/marjoramswitch/kernel/request/KeyRegistry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/request/KeyRegistry.java
@@ -36,7 +36,7 @@
  * <p><b>Customers</b> have separate entries: another customer's key is unseen, so nobody can attach to another
  * customer's request or learn that it exists.
  *
- * <p><b>Example:</b> A caller's connection breaks after it sent its request with key K to its home A. It tries again at
+ * <p><b>Example:</b> A caller's connection breaks after it sent its request with key K to its home A. It retries at
  * B, which queries A. If the first attempt reached A, A replies ANSWERING and B directs the caller to A, where it
  * gets the complete response. If not, A marks K dead and replies NEVER_SEEN; B reports "not run". The first attempt,
  * still queued in A's socket, is read a moment later and rejected as dead, so "not run" remains true.
@@ -46,7 +46,7 @@
 public final class KeyRegistry {
     private final KeyLimits limits;
     private final Map<CustomerId, CustomerKeys> keysByCustomer = new HashMap<>();
-    private final Map<Long, Entry> byRequest = new HashMap<>();
+    private final Map<Long, KeyEntry> byRequest = new HashMap<>();
     private int size;
     private long nowMs = Long.MIN_VALUE;
 
@@ -73,7 +73,7 @@
             CustomerId customer, RequestKey key, long fingerprint, long requestId, long presentedAtMs) {
         advanceClock(presentedAtMs);
         CustomerKeys keys = keys(customer);
-        Entry existing = keys.entries.get(key);
+        KeyEntry existing = keys.entries.get(key);
         if (existing != null) {
             return verdict(existing, fingerprint);
         }
@@ -85,7 +85,7 @@
             raiseFloor(keys);
             return new KeyVerdict.Refused(Failure.notRun(ErrorType.KEY_LIMIT, limits.skewMs(), customer.name()));
         }
-        Entry started = new Entry(key, keys, KeyState.WAITING, fingerprint, requestId);
+        KeyEntry started = new KeyEntry(key, keys, KeyState.WAITING, fingerprint, requestId);
         add(started);
         byRequest.put(requestId, started);
         return new KeyVerdict.Start();
@@ -98,7 +98,7 @@
     public KeyState query(CustomerId customer, RequestKey key, long queriedAtMs) {
         advanceClock(queriedAtMs);
         CustomerKeys keys = keys(customer);
-        Entry existing = keys.entries.get(key);
+        KeyEntry existing = keys.entries.get(key);
         if (existing != null) {
             return existing.state;
         }
@@ -139,7 +139,7 @@
     /** @param notRun whether the request ended without an execution, which marks its key dead */
     public void ended(long requestId, boolean notRun, long endedAtMs) {
         advanceClock(endedAtMs);
-        Entry entry = byRequest.get(requestId);
+        KeyEntry entry = byRequest.get(requestId);
         if (entry == null) {
             return;
         }
@@ -152,7 +152,7 @@
 
     /** Records that the response of an ended request is no longer kept. */
     public void responseDropped(long requestId) {
-        Entry entry = byRequest.remove(requestId);
+        KeyEntry entry = byRequest.remove(requestId);
         if (entry != null) {
             entry.responseKept = false;
         }
@@ -169,7 +169,7 @@
         return dropped;
     }
 
-    private boolean expire(Entry entry, List<Long> dropped) {
+    private boolean expire(KeyEntry entry, List<Long> dropped) {
         if (!entry.hasEnded()) {
             return false;
         }
@@ -185,7 +185,7 @@
         return true;
     }
 
-    private KeyVerdict verdict(Entry existing, long fingerprint) {
+    private KeyVerdict verdict(KeyEntry existing, long fingerprint) {
         if (existing.state == KeyState.DEAD) {
             return new KeyVerdict.Refused(Failure.notRun(ErrorType.KEY_DEAD, 0, ""));
         }
@@ -247,7 +247,7 @@
             raiseFloor(keys);
             return;
         }
-        Entry dead = new Entry(key, keys, KeyState.DEAD, 0, 0);
+        KeyEntry dead = new KeyEntry(key, keys, KeyState.DEAD, 0, 0);
         dead.endedMs = nowMs;
         add(dead);
     }
@@ -257,13 +257,13 @@
         keys.floorS = Math.max(keys.floorS, TimeUnit.MILLISECONDS.toSeconds(nowMs + limits.skewMs()));
     }
 
-    private void add(Entry entry) {
+    private void add(KeyEntry entry) {
         entry.keys.entries.put(entry.key, entry);
         size++;
     }
 
     private void advanceState(long requestId, KeyState state) {
-        Entry entry = byRequest.get(requestId);
+        KeyEntry entry = byRequest.get(requestId);
         if (entry != null && !entry.hasEnded()) {
             entry.state = state;
         }
@@ -279,12 +279,12 @@
 
     /** Keys and floor of one customer. */
     private static final class CustomerKeys {
-        private final Map<RequestKey, Entry> entries = new HashMap<>();
+        private final Map<RequestKey, KeyEntry> entries = new HashMap<>();
         private long floorS;
     }
 
     /** State of one key. */
-    private static final class Entry {
+    private static final class KeyEntry {
         private final RequestKey key;
         private final CustomerKeys keys;
         private final long fingerprint;
@@ -293,7 +293,7 @@
         private long endedMs;
         private boolean responseKept = true;
 
-        Entry(RequestKey key, CustomerKeys keys, KeyState state, long fingerprint, long requestId) {
+        KeyEntry(RequestKey key, CustomerKeys keys, KeyState state, long fingerprint, long requestId) {
             this.key = key;
             this.keys = keys;
             this.state = state;
--- a/kernel/src/test/java/org/marjoramswitch/kernel/arbiter/ArbiterTest.java
+++ b/kernel/src/test/java/org/marjoramswitch/kernel/arbiter/ArbiterTest.java
@@ -105,8 +105,8 @@
 
     @Test
     void failingTargetIsEjectedAndReadmittedByAProbe() {
-        // The target fails every request immediately. Without ejection it frees its slots first and attracts the whole
-        // queue, so every request would fail although the other targets work.
+        // The target fails every request immediately. Without ejection it frees its slots first and receives all
+        // waiting requests, so every request would fail although the other targets work.
         register(E1, offer(A, 16));
         for (int i = 0; i < 3; i++) {
             grants(NOW_MS).forEach(grant -> arbiter.attemptEnded(E1, grant.sequence(), 0, true, NOW_MS));
