--- a/testsuite/src/test/java/org/marjoramswitch/testsuite/path/FailureTest.java
+++ b/testsuite/src/test/java/org/marjoramswitch/testsuite/path/FailureTest.java
@@ -202,7 +202,7 @@
         assertEquals(503, rejected.status(), rejected.toString());
         assertEquals("not-run", rejected.run());
         assertTrue(rejected.retryAfterSeconds() > 0, rejected.toString());
-        assertFalse(first.ready());
+        assertFalse(first.isReady());
         fleet.platform().recover();
         TestFleet.await("settings from the platform", first::isReady);
         assertTrue(fleet.caller("entry-1", CUSTOMER).chat(body(2, 5)).join().isSuccessful());
