--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallHandler.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallHandler.java
@@ -75,7 +75,7 @@
         if (result instanceof Authenticator.Result.Refused refused) {
             return refused.failure();
         }
-        caller.identify(((Authenticator.Result.Authenticated) result).customer());
+        caller.setCustomer(((Authenticator.Result.Authenticated) result).customer());
         if (metrics.openRequests() > options.maxRequests()) {
             return Failure.notRun(ErrorType.ENTRY_QUEUE_FULL, FULL_RETRY_AFTER_MS, "");
         }
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
@@ -67,7 +67,7 @@
 
     /** Accepts a call whose body is reserved in the budget. Must be called on the exchange's I/O thread. */
     void accept(CallerExchange caller, Call call) {
-        caller.assign(call.pool().id());
+        caller.setPool(call.pool().id());
         caller.setDigest(call.digest());
         String keyText = call.headers().requestKey();
         RequestKey key = keyText == null ? null : RequestKey.parse(keyText);
@@ -227,7 +227,7 @@
 
     private boolean attach(
             CallerExchange caller, long requestId, ResponseBuffer buffer, ResponseWriter.Listener listener) {
-        caller.assign(requestId);
+        caller.setRequestId(requestId);
         caller.http().getResponseHeaders().put(REQUEST_ID, requestId);
         ResponseWriter.Times times = new ResponseWriter.Times(
                 options.times().keepAliveMs(), options.times().idleTimeoutMs());
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerExchange.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallerExchange.java
@@ -46,7 +46,7 @@
         return exchange;
     }
 
-    void identify(CustomerId newCustomer) {
+    void setCustomer(CustomerId newCustomer) {
         customer = newCustomer;
     }
 
@@ -66,7 +66,7 @@
         digest = Long.toHexString(requestDigest);
     }
 
-    void assign(Route newRoute) {
+    void setRoute(Route newRoute) {
         route = newRoute;
     }
 
@@ -75,11 +75,11 @@
         longestPause.onChunk(nowMs);
     }
 
-    void assign(PoolId newPool) {
+    void setPool(PoolId newPool) {
         pool = newPool;
     }
 
-    void assign(long newRequestId) {
+    void setRequestId(long newRequestId) {
         requestId = newRequestId;
     }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardHandler.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ForwardHandler.java
@@ -97,7 +97,7 @@
             return;
         }
         Route found = Objects.requireNonNull(route);
-        caller.assign(found);
+        caller.setRoute(found);
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> readBody(caller, current, found));
     }
 
@@ -118,7 +118,7 @@
             return Failure.notRun(ErrorType.MALFORMED_REQUEST, 0, "HTTP/1.1 is needed");
         }
         if (route.open() || !current.keyRequired()) {
-            caller.identify(RoutedCall.NO_CUSTOMER);
+            caller.setCustomer(RoutedCall.NO_CUSTOMER);
         } else {
             CustomerId customer = apiKeys.customer(
                     current.version(),
@@ -127,7 +127,7 @@
             if (customer == null) {
                 return Failure.notRun(ErrorType.UNKNOWN_API_KEY, 0, "");
             }
-            caller.identify(customer);
+            caller.setCustomer(customer);
         }
         return metrics.openRequests() > options.maxRequests()
                 ? Failure.notRun(ErrorType.ENTRY_QUEUE_FULL, FULL_RETRY_AFTER_MS, "")
@@ -169,8 +169,8 @@
         long requestId = submitter.nextRequestId();
         PoolId poolId = route.pool(metadata.requestId().hashCode());
         PoolSettings pool = current.pools().get(poolId);
-        caller.assign(poolId);
-        caller.assign(requestId);
+        caller.setPool(poolId);
+        caller.setRequestId(requestId);
         caller.setCallerRequestId(metadata.requestId());
         if (CallerWatch.hasDisconnected(caller.http())) {
             budget.release(body.length);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ResponseBuffer.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ResponseBuffer.java
@@ -65,7 +65,7 @@
     }
 
     /** Returns a cursor at the response's first byte, or null if that byte has been freed. */
-    synchronized @Nullable Cursor open(ResponseReader reader) {
+    synchronized @Nullable Cursor open(ResponseBufferListener reader) {
         if (firstChunk > 0) {
             return null;
         }
@@ -182,11 +182,11 @@
 
     /** A reader's position in the response; used only by that reader's thread. */
     final class Cursor {
-        private final ResponseReader reader;
+        private final ResponseBufferListener reader;
         private long nextChunk;
         private long readBytes;
 
-        private Cursor(ResponseReader reader) {
+        private Cursor(ResponseBufferListener reader) {
             this.reader = reader;
         }
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ResponseReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ResponseBufferListener.java
@@ -1,7 +1,7 @@
 package org.marjoramswitch.daemon.caller;
 
-/** Reader of a {@link ResponseBuffer}. Methods are called by any thread and must not block. */
-interface ResponseReader {
+/** Notified of the progress of a {@link ResponseBuffer} that it reads. Called by any thread; must not block. */
+interface ResponseBufferListener {
     /** A head, bytes or the end can be read. */
     void onMore();
 
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/ResponseWriter.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/ResponseWriter.java
@@ -34,7 +34,7 @@
  * <p>The connection of a caller that does not read is closed in two cases: the caller has too many unread bytes ({@link
  * ResponseBuffer} decides), or it has accepted no byte for the stall timeout.
  */
-final class ResponseWriter implements ResponseReader {
+final class ResponseWriter implements ResponseBufferListener {
     private static final byte[] KEEP_ALIVE = ": keep-alive\n\n".getBytes(StandardCharsets.UTF_8);
     private static final String EVENT_STREAM = "text/event-stream";
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/platform/KeyValueStore.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/platform/KeyValueStore.java
@@ -36,7 +36,7 @@
      */
     AutoCloseable watch(String prefix, long afterRevision, Consumer<WatchEvent> listener);
 
-    /** Number of calls made so far; each waiting watch counts as one. */
+    /** Number of calls made so far; a watch call that waits for changes counts as one. */
     long calls();
 
     @Override
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/ConnectionPool.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/ConnectionPool.java
@@ -49,7 +49,7 @@
     }
 
     /** Returns a connection whose exchange is complete; closes the oldest idle one beyond the maximum. */
-    synchronized void giveBack(TargetAddress address, ClientConnection connection, long nowMs) {
+    synchronized void returnConnection(TargetAddress address, ClientConnection connection, long nowMs) {
         Slots slots = slots(address);
         slots.idle.addLast(new Idle(connection, nowMs));
         if (slots.idle.size() > options.maxIdlePerTarget()) {
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/CallHeaders.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/HeadConverter.java
@@ -14,7 +14,7 @@
 import org.marjoramswitch.daemon.exchange.TargetCall;
 
 /** Converts the heads of requests and responses between the caller's and the target's connection. */
-final class CallHeaders {
+final class HeadConverter {
     private static final String HOST = "host";
     /** Hop-by-hop headers and headers set for each connection; in lower case. */
     private static final Set<String> NOT_FORWARDED = Set.of(
@@ -31,7 +31,7 @@
             "transfer-encoding",
             "upgrade");
 
-    private CallHeaders() {}
+    private HeadConverter() {}
 
     static ClientRequest request(AttemptSpec spec, TargetCall call, long nowNs) {
         TargetProtocol protocol = spec.protocol();
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/HttpAttempt.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/HttpAttempt.java
@@ -148,7 +148,7 @@
         if (sending.isExpired(System.nanoTime())) {
             // On a busy instance the kernel's cancellation may arrive only after the connection is ready. The target
             // would process a request whose caller has timed out.
-            connector.giveBack(address, usable);
+            connector.returnConnection(address, usable);
             end(TargetOutcome.CANCELLED);
             return;
         }
@@ -161,7 +161,7 @@
             return;
         }
         usable.sendRequest(
-                CallHeaders.request(spec, sending, System.nanoTime()), callback(usable, this::requestOpened));
+                HeadConverter.request(spec, sending, System.nanoTime()), callback(usable, this::requestOpened));
     }
 
     private void requestOpened(ClientConnection carrier, ClientExchange exchange) {
@@ -400,7 +400,7 @@
         boolean responseRead = outcome == TargetOutcome.COMPLETED || outcome == TargetOutcome.REFUSED;
         ClientConnection used = connection;
         if (used != null && responseRead && reusable && requestSent && used.isOpen()) {
-            connector.giveBack(address, used);
+            connector.returnConnection(address, used);
             return;
         }
         discard();
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/ResponseReader.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/ResponseReader.java
@@ -45,7 +45,7 @@
         this.delivery = delivery;
         this.channel = exchange.getResponseChannel();
         this.status = response.getResponseCode();
-        this.headers = CallHeaders.response(received);
+        this.headers = HeadConverter.response(received);
         this.protocol = spec.protocol();
         this.echoedId = headers.get(protocol.idHeader());
         this.crossed = isCrossed(spec);
--- a/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetConnector.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/target/TargetConnector.java
@@ -85,8 +85,8 @@
         return pool.take(spec.address(), options.idleAgeMs(spec), nowMs());
     }
 
-    void giveBack(TargetAddress address, ClientConnection connection) {
-        pool.giveBack(address, connection, nowMs());
+    void returnConnection(TargetAddress address, ClientConnection connection) {
+        pool.returnConnection(address, connection, nowMs());
     }
 
     /**
--- a/daemon/src/test/java/org/marjoramswitch/daemon/caller/ResponseBufferTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/caller/ResponseBufferTest.java
@@ -25,7 +25,7 @@
     }
 
     /** Reader that reads on request and records whether it was dropped. */
-    private static final class Reader implements ResponseReader {
+    private static final class Reader implements ResponseBufferListener {
         private final StringBuilder read = new StringBuilder();
         private ResponseBuffer.Cursor cursor;
         private boolean dropped;
--- a/daemon/src/test/java/org/marjoramswitch/daemon/fleet/MissingTargetPolicyTest.java
+++ b/daemon/src/test/java/org/marjoramswitch/daemon/fleet/MissingTargetPolicyTest.java
@@ -12,12 +12,12 @@
 import org.marjoramswitch.kernel.settings.TargetSettings;
 
 class MissingTargetPolicyTest {
-    private static final Map<TargetId, TargetSettings> KNOWN = known("a1", "a2", "a3", "a4", "b1", "b2");
+    private static final Map<TargetId, TargetSettings> PREVIOUS = targets("a1", "a2", "a3", "a4", "b1", "b2");
 
     /** The store was down and every entry has expired: callers must still be served until the entries are back. */
     @Test
     void targetsOfACompletelyMissingPoolAreKept() {
-        assertEquals(KNOWN, MissingTargetPolicy.targetsToKeep(KNOWN, Set.of()));
+        assertEquals(PREVIOUS, MissingTargetPolicy.targetsToKeep(PREVIOUS, Set.of()));
     }
 
     /**
@@ -25,21 +25,22 @@
      */
     @Test
     void fewMissingTargetsAreNotKept() {
-        assertEquals(Map.of(), MissingTargetPolicy.targetsToKeep(KNOWN, ids("a1", "a2", "a3", "b1")));
+        assertEquals(Map.of(), MissingTargetPolicy.targetsToKeep(PREVIOUS, ids("a1", "a2", "a3", "b1")));
     }
 
     @Test
     void eachPoolIsDecidedIndependently() {
         assertEquals(
                 Set.of(TargetId.of("b1"), TargetId.of("b2")),
-                MissingTargetPolicy.targetsToKeep(KNOWN, ids("a1", "a2", "a3")).keySet());
+                MissingTargetPolicy.targetsToKeep(PREVIOUS, ids("a1", "a2", "a3"))
+                        .keySet());
     }
 
     private static Set<TargetId> ids(String... names) {
-        return known(names).keySet();
+        return targets(names).keySet();
     }
 
-    private static Map<TargetId, TargetSettings> known(String... names) {
+    private static Map<TargetId, TargetSettings> targets(String... names) {
         Map<TargetId, TargetSettings> targets = new TreeMap<>();
         for (String name : names) {
             TargetId id = TargetId.of(name);
