--- a/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/Arbiter.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/arbiter/Arbiter.java
@@ -137,6 +137,7 @@
         targets.keySet().retainAll(named);
     }
 
+    /** Applies a target's load report. */
     public void reported(TargetId target, LoadReport report, long nowMs) {
         TargetSlots slots = targets.get(target);
         if (slots != null) {
@@ -184,6 +185,7 @@
         }
     }
 
+    /** Applies a change of the entry's offer for one customer. Ignored if the entry is not connected. */
     public void demand(InstanceId entry, PeerMessage.Demand demand) {
         EntryState state = entries.get(entry);
         if (state == null || !state.connected()) {
@@ -192,6 +194,7 @@
         offer(entry, state, demand.customer(), demand.added(), demand.urgency());
     }
 
+    /** Releases the slot of a grant that the entry returned, and refunds its charge. */
     public void declined(InstanceId entry, long sequence, PeerMessage.DeclineReason reason) {
         EntryState state = entries.get(entry);
         GrantedRequest request = state == null ? null : state.granted().remove(sequence);
@@ -208,6 +211,7 @@
         }
     }
 
+    /** Updates the charge of a running request from its cost so far and its estimate. */
     public void progress(InstanceId entry, long sequence, long costTokens) {
         EntryState state = entries.get(entry);
         GrantedRequest request = state == null ? null : state.granted().get(sequence);
@@ -218,6 +222,10 @@
         shares.charge(request.customer(), request.updateCharge(expected));
     }
 
+    /**
+     * Releases the slot of an ended attempt, and updates its charge, the customer's cost estimate and the target's
+     * health.
+     */
     public void attemptEnded(InstanceId entry, long sequence, long costTokens, boolean targetFault, long nowMs) {
         EntryState state = entries.get(entry);
         GrantedRequest request = state == null ? null : state.granted().remove(sequence);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/capacity/OutlierEjection.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/capacity/OutlierEjection.java
@@ -55,6 +55,7 @@
         return mayProbe ? Math.min(1, free) : 0;
     }
 
+    /** Whether the target receives no requests now; false while it receives probes. */
     public boolean isEjected(long nowMs) {
         return nowMs < ejectedUntilMs;
     }
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/Entry.java
@@ -308,6 +308,10 @@
         prefixes.remove(target, prefixHash);
     }
 
+    /**
+     * Handles the passage of time: expired deadlines, silent arbiters, elapsed backoffs, unsent crash reports, waiting
+     * offers.
+     */
     public void tick(long nowMs, ActionSink sink) {
         if (nowMs - lastTickMs >= PAUSE_MS) {
             placements.processResumed(nowMs);
--- a/kernel/src/main/java/org/marjoramswitch/kernel/entry/FleetState.java
+++ b/kernel/src/main/java/org/marjoramswitch/kernel/entry/FleetState.java
@@ -69,6 +69,7 @@
         return unreachable;
     }
 
+    /** Applies a new generation of settings; cells and arbiters are derived from it. */
     public void settings(FleetSettings newSettings) {
         settings = newSettings;
         updateLeavingTargets();
@@ -76,6 +77,7 @@
         assignment = ArbiterAssignment.of(cells.cells(), view);
     }
 
+    /** Applies a new membership view; arbiters are derived from it. */
     public void view(FleetView newView) {
         view = newView;
         unreachable.retainAll(newView.members().keySet());
@@ -87,6 +89,7 @@
         return listedLeaving;
     }
 
+    /** Replaces the draining targets of the target list. */
     public void leavingTargets(Collection<TargetId> leaving) {
         listedLeaving = new TreeSet<>(leaving);
         updateLeavingTargets();
@@ -116,6 +119,7 @@
         leavingTargets = all;
     }
 
+    /** Records whether this instance can reach the peer. */
     public void reachable(InstanceId peer, boolean isReachable) {
         if (isReachable) {
             unreachable.remove(peer);
