--- a/daemon/src/main/java/org/marjoramswitch/daemon/InstanceClock.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/InstanceClock.java
@@ -30,9 +30,8 @@
      * no stored state.
      *
      * <p>Edge case: if the wall clock was set back between two starts, the incarnation is lower than the previous one,
-     * and peers treat the
-     * instance as its previous incarnation. The incarnation is fixed at the start, so this ends only with a restart after
-     * the wall clock has passed the previous start time.
+     * and peers treat the instance as its previous incarnation. The incarnation is fixed at the start, so this ends
+     * only with a restart after the wall clock has passed the previous start time.
      */
     long startMs() {
         return startMs;
--- a/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
+++ b/daemon/src/main/java/org/marjoramswitch/daemon/caller/CallIntake.java
@@ -114,8 +114,7 @@
             followHolder(caller, call, claimed, requestId, held.requestKey());
         } else {
             // The claim may still have taken effect. The request key is marked dead, so that the request never runs and
-            // a
-            // retry that finds the claim is rejected as not run.
+            // a retry that finds the claim is rejected as not run.
             Failure failure = Failure.notRun(
                     ErrorType.CLAIM_UNAVAILABLE, CLAIM_RETRY_AFTER_MS, ((Claims.Result.NotClaimed) result).reason());
             refuse(caller, call, keys.refuse(call.customer(), claimed.toString(), failure));
--- a/tool/src/test/java/org/marjoramswitch/tool/demo/LostInstancesTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/demo/LostInstancesTest.java
@@ -35,9 +35,8 @@
 
     // Under full load one instance crashes and another one is drained. Callers of the first see their connections break
     // and retry with the same keys at other instances; callers of the second are redirected to other instances while
-    // its
-    // running requests finish. Every repeatable request must be answered in the end, no other request may be executed
-    // twice, and no request that was executed may be reported as not run.
+    // its running requests finish. Every repeatable request must be answered in the end, no other request may be
+    // executed twice, and no request that was executed may be reported as not run.
     @Test
     void reportsCorrectOutcomesWhileInstancesCrashAndDrain() throws Exception {
         DemoSite site = DemoSite.ALL.get(0);
--- a/tool/src/test/java/org/marjoramswitch/tool/explain/ExplanationTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/explain/ExplanationTest.java
@@ -206,8 +206,8 @@
     }
 
     // An instance that restarts after a crash numbers its requests and placement requests from the beginning, and
-    // another
-    // entry's placement request for the same customer may have the same id. Neither may appear in the explanation.
+    // another entry's placement request for the same customer may have the same id. Neither may appear in the
+    // explanation.
     @Test
     void distinguishesIncarnationsAndOtherEntries() {
         log("entry.log", 0, "instance_started", "instance", "entry-1");
--- a/tool/src/test/java/org/marjoramswitch/tool/load/LoadRunTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/load/LoadRunTest.java
@@ -66,8 +66,7 @@
     }
 
     // The engine closes the connection after the third token. The caller has received a partial response, recognisable
-    // by
-    // the missing end of the framing. Counting it as answered would hide every truncated response.
+    // by the missing end of the framing. Counting it as answered would hide every truncated response.
     @Test
     void countsAPartialResponseAsBroken() throws Exception {
         CustomerReport report = runOnEngine(
@@ -139,8 +138,7 @@
     }
 
     // The service executes each call and closes the connection instead of responding. The calls are not repeatable, so
-    // a
-    // retry would execute them twice; the caller must stop with an unknown outcome.
+    // a retry would execute them twice; the caller must stop with an unknown outcome.
     @Test
     void neverRetriesANonRepeatableCall() throws Exception {
         try (PlainService service = PlainService.start(1, 0)) {
--- a/tool/src/test/java/org/marjoramswitch/tool/settings/SettingsWriterTest.java
+++ b/tool/src/test/java/org/marjoramswitch/tool/settings/SettingsWriterTest.java
@@ -82,10 +82,8 @@
     }
 
     // Two operators change the same version concurrently. Each has read the document and finds its base unchanged
-    // before
-    // either has written. One compare-and-swap succeeds; the other operator must get a conflict and must not overwrite
-    // a
-    // change that they never saw.
+    // before either has written. One compare-and-swap succeeds; the other operator must get a conflict and must not
+    // overwrite a change that they never saw.
     @Test
     void acceptsExactlyOneOfTwoConcurrentWrites() throws Exception {
         String base = "";
@@ -108,8 +106,7 @@
     }
 
     // The store executes the write but the connection is closed before the response. A plain retry would mistake its
-    // own
-    // change for another operator's and report a conflict.
+    // own change for another operator's and report a conflict.
     @Test
     void resolvesALostResponseByReadingBack() throws Exception {
         gateway.dropResponses(1);
@@ -149,8 +146,7 @@
     }
 
     // The write is delayed and another operator's change takes effect first. The delayed write expects an old revision
-    // and
-    // can no longer take effect, so this is a certain conflict, not an unknown outcome.
+    // and can no longer take effect, so this is a certain conflict, not an unknown outcome.
     @Test
     void reportsAConflictIfAnotherWriteOvertakesADelayedOne() throws Exception {
         put(change("", "c0", 1));
